--- a/bamboovale/decisions/engine_places.py
+++ b/bamboovale/decisions/engine_places.py
@@ -28,7 +28,7 @@
     Grant,
     OrderLoad,
     OrderUnload,
-    PlaceAsk,
+    QueuedRequest,
     RefusalReason,
     Refuse,
 )
@@ -50,7 +50,7 @@
 class Place:
     """A place in use."""
 
-    ask: PlaceAsk
+    request: QueuedRequest
     granted_at: float
     started: bool = False
 
@@ -73,7 +73,7 @@
         self._paced_until: float | None = None
         self._orders = LoadOrders(capacity, self.slots)
         self._stopped_at: float | None = None
-        self._queue: list[PlaceAsk] = []
+        self._queue: list[QueuedRequest] = []
         self._paced_since: dict[str, float] = {}
         self._place_by_id: dict[str, Place] = {}
         self._tokens = 0
@@ -125,14 +125,14 @@
     ) -> list[Action]:
         """Take an engine's refusal; ``not_held`` if it says it lacks the adapter."""
         place = self._place_by_id.get(ask_id)
-        if place is not None and place.ask.key is not None:
-            self.slots.run_refused(place.ask.key, now, not_held=not_held)
+        if place is not None and place.request.key is not None:
+            self.slots.run_refused(place.request.key, now, not_held=not_held)
         self.pacing.on_refused(ask_id)
         return self.on_release(ask_id, now)
 
     # Events from entry VMs.
 
-    def on_ask(self, ask: PlaceAsk, now: float) -> list[Action]:
+    def on_ask(self, ask: QueuedRequest, now: float) -> list[Action]:
         """Queue a request, or refuse it at once."""
         if ask.key is not None:
             self.slots.note_version(ask.key, ask.version, now)
@@ -150,7 +150,7 @@
         if place is None or place.started:
             return
         place.started = True
-        tokens = place.ask.prompt_tokens
+        tokens = place.request.prompt_tokens
         late_s = now - place.granted_at - self.pacing.reading_s(tokens)
         self._busyness.on_first_event(late_s, now)
         if self._mechanisms.has(Mechanism.READING_SPEED):
@@ -161,7 +161,7 @@
         if ask_id in self._place_by_id:
             self.pacing.on_pause(pause_s, now)
 
-    def on_held(self, ask: PlaceAsk, version: int, now: float) -> None:
+    def on_held(self, ask: QueuedRequest, version: int, now: float) -> None:
         """Take over a place that the engine's last owner granted."""
         if ask.ask_id in self._place_by_id:
             return
@@ -181,12 +181,12 @@
         """Free a place; ``aborted``: the engine may still work on the request."""
         place = self._place_by_id.pop(ask_id, None)
         if place is not None:
-            self._tokens -= place.ask.tokens
-            slot = self.slots.get(place.ask.key)
+            self._tokens -= place.request.tokens
+            slot = self.slots.get(place.request.key)
             if slot is not None:
                 slot.active = max(0, slot.active - 1)
                 if aborted:
-                    slot.aborted_at[place.ask.request_id] = now
+                    slot.aborted_at[place.request.request_id] = now
         return self.decide(now)
 
     def on_entry_gone(self, entry_vm: str, now: float) -> list[Action]:
@@ -195,7 +195,7 @@
         gone = [
             ask_id
             for ask_id, place in self._place_by_id.items()
-            if place.ask.entry_vm == entry_vm
+            if place.request.entry_vm == entry_vm
         ]
         actions: list[Action] = []
         for ask_id in gone:
@@ -264,7 +264,7 @@
 
     def _backlog_s(self, now: float) -> float:
         ages_s = [
-            now - place.granted_at - self.pacing.reading_s(place.ask.prompt_tokens)
+            now - place.granted_at - self.pacing.reading_s(place.request.prompt_tokens)
             for place in self._place_by_id.values()
             if not place.started
         ]
@@ -299,7 +299,7 @@
             return
         load_s = self.slots.load_s.value
 
-        def place_in_queue(ask: PlaceAsk) -> tuple[bool, float]:
+        def place_in_queue(ask: QueuedRequest) -> tuple[bool, float]:
             start_s = 0.0 if self.slots.is_loaded(ask.key) else load_s
             reading_s = self.pacing.reading_s(ask.prompt_tokens)
             late = now + start_s + reading_s + FIRST_TOKEN_S > ask.goal_at
@@ -314,9 +314,9 @@
         would never begin beside short ones.
         """
         grants: list[Action] = []
-        kept: list[PlaceAsk] = []
+        kept: list[QueuedRequest] = []
         self._paced_until = None
-        pauses = [place.ask.pause_s for place in self._place_by_id.values()]
+        pauses = [place.request.pause_s for place in self._place_by_id.values()]
         for ask in self._queue:
             version = self._startable_version(ask, now)
             if version is None or not self._has_room(ask):
@@ -341,7 +341,7 @@
 
     def _pacing_wait_s(
         self,
-        ask: PlaceAsk,
+        ask: QueuedRequest,
         pause_s: float | None,
         now: float,
     ) -> float:
@@ -361,7 +361,7 @@
         times = (self.slots.next_ready_at(), self._paced_until)
         return min((at for at in times if at is not None), default=None)
 
-    def _startable_version(self, ask: PlaceAsk, now: float) -> int | None:
+    def _startable_version(self, ask: QueuedRequest, now: float) -> int | None:
         if ask.key is None:
             return self._orders.version_by_model.get(ask.model)
         slot = self.slots.get(ask.key)
@@ -373,14 +373,14 @@
         busy = slot.active > 0 and now - newest.known_at < VERSION_GRACE_S
         return slot.version if busy else None
 
-    def _has_room(self, ask: PlaceAsk) -> bool:
+    def _has_room(self, ask: QueuedRequest) -> bool:
         if not self._place_by_id:
             return True
         if len(self._place_by_id) >= self.capacity.places:
             return False
         return self._tokens + ask.tokens <= KV_SHARE * self.capacity.kv_tokens
 
-    def _grant(self, ask: PlaceAsk, version: int, now: float) -> Grant:
+    def _grant(self, ask: QueuedRequest, version: int, now: float) -> Grant:
         self._place_by_id[ask.ask_id] = Place(ask, now)
         self._tokens += ask.tokens
         paced_s = now - self._paced_since.pop(ask.ask_id, now)
@@ -395,7 +395,7 @@
     def _refusals(self, now: float) -> list[Action]:
         """Refuse what can no longer start in time."""
         refusals: list[Action] = []
-        kept: list[PlaceAsk] = []
+        kept: list[QueuedRequest] = []
         load_s = self.slots.load_s.value
         waits_s = self._predicted_waits(now)
         for ask, wait_s in zip(self._queue, waits_s, strict=True):
@@ -435,7 +435,7 @@
         elif self._stopped_at is None:
             self._stopped_at = now
 
-    def _cannot_load(self, ask: PlaceAsk, now: float) -> bool:
+    def _cannot_load(self, ask: QueuedRequest, now: float) -> bool:
         """Tell whether a load is needed and orders have been forbidden for a while."""
         if self._stopped_at is None or now - self._stopped_at < STOPPED_GRACE_S:
             return False
--- a/bamboovale/decisions/load_orders.py
+++ b/bamboovale/decisions/load_orders.py
@@ -17,7 +17,7 @@
     EngineCapacity,
     OrderLoad,
     OrderUnload,
-    PlaceAsk,
+    QueuedRequest,
 )
 
 LOADS_AT_ONCE = 4
@@ -73,7 +73,7 @@
 
     def next(
         self,
-        queue: Sequence[PlaceAsk],
+        queue: Sequence[QueuedRequest],
         now: float,
         *,
         may_evict: bool,
@@ -87,7 +87,7 @@
 
     def _needed(
         self,
-        queue: Sequence[PlaceAsk],
+        queue: Sequence[QueuedRequest],
         now: float,
         *,
         may_evict: bool,
@@ -104,8 +104,8 @@
 
     def _for_request(
         self,
-        ask: PlaceAsk,
-        queue: Sequence[PlaceAsk],
+        ask: QueuedRequest,
+        queue: Sequence[QueuedRequest],
         now: float,
         *,
         may_evict: bool,
@@ -129,7 +129,7 @@
     def _load_adapter(
         self,
         key: AdapterKey,
-        queue: Sequence[PlaceAsk],
+        queue: Sequence[QueuedRequest],
         now: float,
         *,
         may_evict: bool,
--- a/bamboovale/decisions/place_work.py
+++ b/bamboovale/decisions/place_work.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True)
-class PlaceAsk:
+class QueuedRequest:
     """A request that wants a place; times are seconds on the owner's clock.
 
     ``rank`` orders by urgency, 0 first. ``latest_start`` is when a start would be too
@@ -51,7 +51,7 @@
     ``paced_s`` is for how long only the pauses of other streams kept it waiting.
     """
 
-    ask: PlaceAsk
+    request: QueuedRequest
     version: int
     confirmed: bool = True
     paced_s: float = 0.0
@@ -69,7 +69,7 @@
 class Refuse:
     """The request was not sent; it may come back after ``retry_after_s``."""
 
-    ask: PlaceAsk
+    request: QueuedRequest
     reason: RefusalReason
     retry_after_s: float
 
--- a/bamboovale/emulator/caller.py
+++ b/bamboovale/emulator/caller.py
@@ -8,7 +8,7 @@
 import simpy
 
 from bamboovale.decisions.engine_choice import EngineChooser, EngineView
-from bamboovale.decisions.place_work import EngineOutlook, Grant, PlaceAsk, Refuse
+from bamboovale.decisions.place_work import EngineOutlook, Grant, QueuedRequest, Refuse
 from bamboovale.emulator.engine import EngineRun
 from bamboovale.emulator.outcomes import Outcome
 from bamboovale.emulator.owner import MODEL, EmulatedOwner
@@ -131,11 +131,11 @@
         yield self._env.timeout(self._play.hop_s)
         return decision
 
-    def _place_ask(self, asked_at: float) -> PlaceAsk:
+    def _place_ask(self, asked_at: float) -> QueuedRequest:
         kind = self._kind
         gap_s = max(GAP_LEAST_S, GAP_GOALS * kind.goal_s, GAP_PAUSES * kind.pause_s)
         gives_up_at = min(asked_at + gap_s, self._outcome.asked_at + kind.deadline_s)
-        return PlaceAsk(
+        return QueuedRequest(
             ask_id=f"r{self._play.next_number()}.0",
             entry_vm="entry",
             model=MODEL,
@@ -156,9 +156,9 @@
             return False
         yield self._env.timeout(self._play.hop_s)
         ended = self._env.event()
-        listener = StreamListener(self._outcome, owner, grant.ask.ask_id, self._kind)
+        listener = StreamListener(self._outcome, owner, grant.request.ask_id, self._kind)
         run = EngineRun(
-            run_id=grant.ask.ask_id,
+            run_id=grant.request.ask_id,
             adapter=self._key,
             prompt_tokens=self._prompt_tokens,
             output_tokens=self._output_tokens,
@@ -168,14 +168,14 @@
             parts=(("shared", self._kind.shared_tokens),),
         )
         if not owner.engine.begin(run, grant.version):
-            owner.refused_run(grant.ask.ask_id)
+            owner.refused_run(grant.request.ask_id)
             return False
         left_s = self._outcome.asked_at + self._kind.deadline_s - self._env.now
         yield ended | self._env.timeout(max(0.0, left_s))
         self._outcome.complete = bool(ended.triggered and ended.value)
         if not ended.triggered:
             owner.engine.cancel(run.run_id)
-        owner.release(grant.ask.ask_id)
+        owner.release(grant.request.ask_id)
         return True
 
 
--- a/bamboovale/emulator/owner.py
+++ b/bamboovale/emulator/owner.py
@@ -15,7 +15,7 @@
     Grant,
     OrderLoad,
     OrderUnload,
-    PlaceAsk,
+    QueuedRequest,
     Refuse,
 )
 from bamboovale.emulator.engine import AdapterKey, EngineModel
@@ -74,7 +74,7 @@
 
     # Entry VMs.
 
-    def ask(self, ask: PlaceAsk, reply: Reply) -> None:
+    def ask(self, ask: QueuedRequest, reply: Reply) -> None:
         """Decide on a request, now or later."""
         if self._stopped:
             reply(None)
@@ -105,7 +105,7 @@
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Grant | Refuse):
-                reply = self._reply_by_ask.pop(action.ask.ask_id, None)
+                reply = self._reply_by_ask.pop(action.request.ask_id, None)
                 if reply is not None:
                     reply(action)
             else:
--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -12,7 +12,7 @@
     Grant,
     OrderLoad,
     OrderUnload,
-    PlaceAsk,
+    QueuedRequest,
     RefusalReason,
     Refuse,
 )
@@ -98,7 +98,7 @@
     def ask(self, entry_vm: str, request: PlaceRequest, reply: Reply) -> None:
         """Decide on a request for a place, now or later."""
         now = self._context.now()
-        ask = PlaceAsk(
+        ask = QueuedRequest(
             ask_id=request.ask_id,
             entry_vm=entry_vm,
             model=request.model,
@@ -144,7 +144,7 @@
     def held(self, entry_vm: str, held: PlaceHeld) -> None:
         """Take over a run that an entry VM has under way."""
         now = self._context.now()
-        ask = PlaceAsk(
+        ask = QueuedRequest(
             ask_id=held.ask_id,
             entry_vm=entry_vm,
             model=held.model,
@@ -221,9 +221,9 @@
         for action in actions:
             if isinstance(action, Grant):
                 self._tell(
-                    action.ask,
+                    action.request,
                     PlaceReply(
-                        action.ask.ask_id,
+                        action.request.ask_id,
                         action.version,
                         confirmed=action.confirmed,
                         paced_s=round(action.paced_s, 4),
@@ -235,7 +235,7 @@
                 self._spawn(self._order(action))
         self._decide_again(self._context.now())
 
-    def _tell(self, ask: PlaceAsk, reply: PlaceReply) -> None:
+    def _tell(self, ask: QueuedRequest, reply: PlaceReply) -> None:
         waiting = self._reply_by_ask.pop(ask.ask_id, None)
         if waiting is not None:
             waiting(reply)
@@ -244,18 +244,18 @@
         self._context.journal.write(
             "place_refused",
             engine=self.record.endpoint_id,
-            ask=refusal.ask.ask_id,
-            adapter=refusal.ask.adapter,
+            ask=refusal.request.ask_id,
+            adapter=refusal.request.adapter,
             reason=refusal.reason.name.lower(),
             queued=self.places.waiting(),
         )
         reply = PlaceReply(
-            refusal.ask.ask_id,
+            refusal.request.ask_id,
             reason=refusal.reason.name.lower(),
             retry_after_s=refusal.retry_after_s,
             not_owner=refusal.reason is RefusalReason.CANNOT_LOAD,
         )
-        self._tell(refusal.ask, reply)
+        self._tell(refusal.request, reply)
 
     async def _order(self, action: OrderLoad | OrderUnload) -> None:
         """Give an order and take its outcome."""
--- a/tests/engine_load_play.py
+++ b/tests/engine_load_play.py
@@ -22,7 +22,7 @@
     EngineOutlook,
     Grant,
     OrderLoad,
-    PlaceAsk,
+    QueuedRequest,
     Refuse,
 )
 
@@ -171,7 +171,7 @@
         assert name is not None
         entry.loads_by_engine[name] += not views[name].holds(key, 1)
         tokens = max(8, min(278, int(self._rng.lognormvariate(3.7, 1.0))))
-        ask = PlaceAsk(
+        ask = QueuedRequest(
             ask_id=f"r{next(self._numbers)}.0",
             entry_vm="entry",
             model="base",
@@ -195,7 +195,7 @@
 
     def _carry_out(self, engine: _Engine, action: Action) -> None:
         if isinstance(action, Grant):
-            self._after(HOP_S, lambda: self._start(engine, action.ask))
+            self._after(HOP_S, lambda: self._start(engine, action.request))
         elif isinstance(action, Refuse):
             self.result.refused += 1
         else:
@@ -238,7 +238,7 @@
         )
         self._do(engine, engine.places.on_facts, facts)
 
-    def _start(self, engine: _Engine, ask: PlaceAsk) -> None:
+    def _start(self, engine: _Engine, ask: QueuedRequest) -> None:
         engine.running += 1
         began = max(self._now, engine.reads_until)
         engine.reads_until = began + ask.prompt_tokens / READ_TOKENS_PER_S
@@ -248,11 +248,11 @@
         self._at(first_at, lambda: self._first(engine, ask, arrived))
         self._at(first_at + tokens * pace_s, lambda: self._end(engine, ask))
 
-    def _first(self, engine: _Engine, ask: PlaceAsk, arrived: float) -> None:
+    def _first(self, engine: _Engine, ask: QueuedRequest, arrived: float) -> None:
         self.result.first_event_s.append(self._now - arrived)
         engine.places.on_started(ask.ask_id, self._now)
 
-    def _end(self, engine: _Engine, ask: PlaceAsk) -> None:
+    def _end(self, engine: _Engine, ask: QueuedRequest) -> None:
         engine.running -= 1
         self._do(engine, engine.places.on_release, ask.ask_id)
 
--- a/tests/test_decisions_engine_places.py
+++ b/tests/test_decisions_engine_places.py
@@ -7,7 +7,7 @@
     Grant,
     OrderLoad,
     OrderUnload,
-    PlaceAsk,
+    QueuedRequest,
     RefusalReason,
     Refuse,
 )
@@ -29,9 +29,9 @@
     return EngineFacts({MODEL: 1}, adapters, frozenset(), 0, read_at)
 
 
-def ask(name: str, adapter: str, now: float = 0.0, **fields: float) -> PlaceAsk:
+def ask(name: str, adapter: str, now: float = 0.0, **fields: float) -> QueuedRequest:
     """Return a request that has a goal of a second and waits for three."""
-    return PlaceAsk(
+    return QueuedRequest(
         ask_id=name,
         entry_vm="entry-0",
         model=MODEL,
