--- a/tests/test_decisions_engine_places.py
+++ b/tests/test_decisions_engine_places.py
@@ -47,7 +47,7 @@
 
 def load(engine: EnginePlaces, adapter: str, now: float) -> None:
     """Bring an adapter in, by a request that ends at once."""
-    [order] = engine.on_ask(ask(f"load-{adapter}", adapter, now), now)
+    [order] = engine.on_request(ask(f"load-{adapter}", adapter, now), now)
     assert order == OrderLoad(MODEL, adapter, 1)
     engine.on_order_done(order, now, at_once=False)
     later = now + 1.0
@@ -157,7 +157,7 @@
         now: float,
     ) -> bool:
         """Load an adapter in 0.25 s; True if its request was sent before that."""
-        [unload] = engine.on_ask(ask(name, adapter, now), now)
+        [unload] = engine.on_request(ask(name, adapter, now), now)
         [order] = engine.on_order_done(unload, now, at_once=True)
         assert isinstance(order, OrderLoad)
         engine.on_order_done(order, now, at_once=False)
