--- a/tests/test_decisions_engine_places.py
+++ b/tests/test_decisions_engine_places.py
@@ -51,7 +51,7 @@
     assert order == OrderLoad(MODEL, adapter, 1)
     engine.on_order_done(order, now, at_once=False)
     later = now + 1.0
-    engine.on_facts(facts(later, **{adapter: 1}), later)
+    engine.on_report(facts(later, **{adapter: 1}), later)
     engine.on_release(f"load-{adapter}", later)
 
 
@@ -169,7 +169,7 @@
             engine.on_refused_run(name, sent_at, not_held=True)
         else:
             engine.on_release(name, now + 1.0)
-        engine.on_facts(facts(now + 1.0, **{adapter: 1}), now + 1.0)
+        engine.on_report(facts(now + 1.0, **{adapter: 1}), now + 1.0)
         return early
 
     def test_a_request_that_came_before_its_load_was_complete_waits_for_a_report(
