--- a/tests/test_decisions_engine_places.py
+++ b/tests/test_decisions_engine_places.py
@@ -166,7 +166,7 @@
             sent_at += 0.01
         early = sent_at - now < 0.25
         if early:
-            engine.on_refused_run(name, sent_at, not_held=True)
+            engine.on_run_refused(name, sent_at, not_held=True)
         else:
             engine.on_release(name, now + 1.0)
         engine.on_report(facts(now + 1.0, **{adapter: 1}), now + 1.0)
