--- a/tests/test_decisions_dispatch.py
+++ b/tests/test_decisions_dispatch.py
@@ -187,7 +187,7 @@
     def grant_load_slot(self, data: st.DataObject) -> None:
         name = data.draw(st.sampled_from(sorted(self.asked)))
         self.asked.remove(name)
-        self.emit("on_load_slot", name)
+        self.emit("on_load_grant", name)
 
     @precondition(lambda self: self.loading)
     @rule(succeeds=st.sampled_from([True, True, False]))
@@ -262,7 +262,7 @@
             del self.running[permit_id]
             self.emit("on_release", permit_id)
         for name in list(dict.fromkeys(self.asked)):
-            self.emit("on_load_slot", name)
+            self.emit("on_load_grant", name)
         self.asked.clear()
         while self.unloading:
             self.end_unload(succeeds=True)
