--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -10,7 +10,6 @@
 from bamboovale.fleet.messages import Gossip, SuspectSeen
 from bamboovale.gateway.crashes import CrashGuard
 from bamboovale.gateway.engine_assignment import EngineAssignment
-from bamboovale.gateway.engine_news import EngineNews
 from bamboovale.gateway.engine_owner import EngineOwner
 from bamboovale.gateway.engines import Engines
 from bamboovale.gateway.messages import (
@@ -30,6 +29,7 @@
 from bamboovale.gateway.model import RoutingTable
 from bamboovale.gateway.ownership import Ownership
 from bamboovale.gateway.records import Records
+from bamboovale.gateway.status_exchange import EngineStatusExchange
 from bamboovale.gateway.translation import Translation
 from bamboovale.gateway.vm_state import VMState
 from bamboovale.peers.links import PeerLinks
@@ -91,7 +91,7 @@
         self._fences_told_at = -FENCES_S
         self._lateness = LatenessWatch()
         self._live: set[str] = set()
-        self.engine_news = EngineNews(state, engines, links)
+        self.status_exchange = EngineStatusExchange(state, engines, links)
         self.exchange = Exchange(
             state.fleet.membership,
             state.fleet.changes,
@@ -144,7 +144,7 @@
         """Own what we should; tell everybody at once if that changed."""
         if self._assignment.assign():
             self.tell()
-            self.engine_news.tell_statuses()
+            self.status_exchange.tell_statuses()
             self._engines.tell_new_owners()
 
     def on_store_answer(self, *, settled: bool) -> None:
@@ -213,7 +213,7 @@
         before = self._live
         self._live = live = {member.vm_id for member in self._state.fleet.live()}
         self._engines.tell_new_owners()
-        self.engine_news.ask_owners()
+        self.status_exchange.ask_owners()
         if live == before:
             return
         self._state.journal.write(
@@ -261,7 +261,7 @@
             if owner is None:
                 reply(PlaceReply(message.ask_id, reason="no owner", not_owner=True))
             else:
-                self.engine_news.on_wanted(sender)
+                self.status_exchange.on_wanted(sender)
                 owner.ask(sender, message, reply)
         elif isinstance(message, TableQuery):
             reply(TableAnswer(self._state.table.source if self._state.table else None))
@@ -284,7 +284,7 @@
         elif isinstance(message, EngineLoads):
             self._state.fleet.on_loads(sender, message.loads, now)
         elif isinstance(message, StatusesWanted):
-            self.engine_news.on_wanted(sender)
+            self.status_exchange.on_wanted(sender)
         elif isinstance(message, PLACE_NOTICES):
             owner = self._engines.owner_by_engine.get(message.engine_id)
             if owner is not None:
--- a/bamboovale/gateway/engine_news.py
+++ b/bamboovale/gateway/status_exchange.py
@@ -13,7 +13,7 @@
 """Between two looks whether we own engines by now; others hear of it meanwhile."""
 
 
-class EngineNews:
+class EngineStatusExchange:
     """Both sides of one VM: what it tells of its engines, and whom it asks."""
 
     def __init__(self, state: VMState, engines: Engines, links: Links) -> None:
