--- a/bamboovale/gateway/messages.py
+++ b/bamboovale/gateway/messages.py
@@ -156,7 +156,7 @@
 
 @message("statuses_wanted")
 @dataclass(frozen=True)
-class StatusesWanted:
+class StatusSubscription:
     """Ask an owner to tell of its engines for the next seconds."""
 
 
--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -22,7 +22,7 @@
     PlaceReply,
     PlaceRequest,
     PlaceStarted,
-    StatusesWanted,
+    StatusSubscription,
     TableAnswer,
     TableQuery,
 )
@@ -283,7 +283,7 @@
             self._state.fleet.on_statuses(sender, message.statuses, now)
         elif isinstance(message, EngineLoads):
             self._state.fleet.on_loads(sender, message.loads, now)
-        elif isinstance(message, StatusesWanted):
+        elif isinstance(message, StatusSubscription):
             self.status_exchange.on_wanted(sender)
         elif isinstance(message, PLACE_NOTICES):
             owner = self._engines.owner_by_engine.get(message.engine_id)
--- a/bamboovale/gateway/status_exchange.py
+++ b/bamboovale/gateway/status_exchange.py
@@ -4,7 +4,7 @@
 
 from bamboovale.fleet.subscriptions import Interest, Subscriptions
 from bamboovale.gateway.engines import Engines, Links
-from bamboovale.gateway.messages import EngineLoads, EngineStatuses, StatusesWanted
+from bamboovale.gateway.messages import EngineLoads, EngineStatuses, StatusSubscription
 from bamboovale.gateway.vm_state import VMState
 
 INTEREST_LOOK_S = 0.5
@@ -86,7 +86,7 @@
         others = self._state.fleet.owner_ids() - {self._state.node.name}
         due = self._interest.to_ask(others, now)
         if due:
-            self._links.notify_all(due, StatusesWanted())
+            self._links.notify_all(due, StatusSubscription())
 
     async def ask_forever(self) -> None:
         """Go on asking while requests come."""
