--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -261,7 +261,7 @@
             if owner is None:
                 reply(PlaceReply(message.ask_id, reason="no owner", not_owner=True))
             else:
-                self.status_exchange.on_wanted(sender)
+                self.status_exchange.on_subscribe(sender)
                 owner.ask(sender, message, reply)
         elif isinstance(message, TableQuery):
             reply(TableAnswer(self._state.table.source if self._state.table else None))
@@ -284,7 +284,7 @@
         elif isinstance(message, EngineLoads):
             self._state.fleet.on_loads(sender, message.loads, now)
         elif isinstance(message, StatusSubscription):
-            self.status_exchange.on_wanted(sender)
+            self.status_exchange.on_subscribe(sender)
         elif isinstance(message, PLACE_NOTICES):
             owner = self._engines.owner_by_engine.get(message.engine_id)
             if owner is not None:
--- a/bamboovale/gateway/status_exchange.py
+++ b/bamboovale/gateway/status_exchange.py
@@ -26,7 +26,7 @@
 
     # As an owner.
 
-    def on_wanted(self, sender: str) -> None:
+    def on_subscribe(self, sender: str) -> None:
         """Tell a VM of our engines from now on; at once if it did not ask before."""
         is_new = self._subscriptions.renew(sender, self._state.now())
         if is_new and self._engines.owner_by_engine:
