--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -144,7 +144,7 @@
         """Own what we should; tell everybody at once if that changed."""
         if self._assignment.assign():
             self.tell()
-            self.status_exchange.tell_statuses()
+            self.status_exchange.publish_statuses()
             self._engines.tell_new_owners()
 
     def on_store_answer(self, *, settled: bool) -> None:
--- a/bamboovale/gateway/status_exchange.py
+++ b/bamboovale/gateway/status_exchange.py
@@ -32,7 +32,7 @@
         if is_new and self._engines.owner_by_engine:
             self._links.notify(sender, self._statuses())
 
-    def tell_statuses(self) -> None:
+    def publish_statuses(self) -> None:
         """Tell everybody that asked of all our engines."""
         now = self._state.now()
         statuses = self._statuses()
@@ -45,7 +45,7 @@
         while True:
             await asyncio.sleep(self._subscriptions.status_interval_s())
             if self._engines.owner_by_engine:
-                self.tell_statuses()
+                self.publish_statuses()
 
     async def tell_loads_forever(self) -> None:
         """Tell how busy our engines are, between two statuses, where that changed."""
