--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -213,7 +213,7 @@
         before = self._live
         self._live = live = {member.vm_id for member in self._state.fleet.live()}
         self._engines.tell_new_owners()
-        self.status_exchange.ask_owners()
+        self.status_exchange.subscribe_to_owners()
         if live == before:
             return
         self._state.journal.write(
--- a/bamboovale/gateway/status_exchange.py
+++ b/bamboovale/gateway/status_exchange.py
@@ -72,9 +72,9 @@
     def on_needed(self) -> None:
         """Note that a request needs an engine; ask at once after a time without."""
         if self._interest.note_request(self._state.now()):
-            self.ask_owners()
+            self.subscribe_to_owners()
 
-    def ask_owners(self) -> None:
+    def subscribe_to_owners(self) -> None:
         """Ask the owners that were not asked of late, if we choose engines.
 
         Owners choose none, but pace prompts by the word of the other owners.
@@ -92,4 +92,4 @@
         """Go on asking while requests come."""
         while True:
             await asyncio.sleep(INTEREST_LOOK_S)
-            self.ask_owners()
+            self.subscribe_to_owners()
