--- a/bamboovale/gateway/engine_orders.py
+++ b/bamboovale/gateway/engine_client.py
@@ -57,7 +57,7 @@
         self.unreachable = unreachable
 
 
-class EngineCalls:
+class EngineClient:
     """Calls engines over a pool of connections of their own."""
 
     def __init__(
--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -16,7 +16,7 @@
     RefusalReason,
     Refuse,
 )
-from bamboovale.gateway.engine_orders import EngineCallFailed
+from bamboovale.gateway.engine_client import EngineCallFailed
 from bamboovale.gateway.messages import (
     EngineLoad,
     EngineStatus,
--- a/bamboovale/gateway/owner_context.py
+++ b/bamboovale/gateway/owner_context.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from bamboovale.decisions.mechanisms import Mechanisms
-from bamboovale.gateway.engine_orders import EngineCalls
+from bamboovale.gateway.engine_client import EngineClient
 from bamboovale.gateway.journal import Journal
 from bamboovale.gateway.model import EndpointRecord
 
@@ -20,7 +20,7 @@
     a service whether reading holds up the streams of many of its engines.
     """
 
-    calls: EngineCalls
+    calls: EngineClient
     journal: Journal
     now: Callable[[], float]
     may_order: Callable[[str], bool]
--- a/bamboovale/gateway/translation.py
+++ b/bamboovale/gateway/translation.py
@@ -4,7 +4,7 @@
 from typing import Any, Protocol
 
 from bamboovale.gateway.call import CallCodec
-from bamboovale.gateway.engine_orders import EngineCodec
+from bamboovale.gateway.engine_client import EngineCodec
 from bamboovale.gateway.model import EndpointRecord, RoutingTable
 from bamboovale.gateway.store import MetadataStore
 from bamboovale.http1.pool import ConnectionPool
--- a/bamboovale/gateway/vm.py
+++ b/bamboovale/gateway/vm.py
@@ -11,7 +11,7 @@
 from bamboovale.gateway.crashes import CrashGuard
 from bamboovale.gateway.endpoints import EndpointChange
 from bamboovale.gateway.engine_assignment import EngineAssignment
-from bamboovale.gateway.engine_orders import EngineCalls
+from bamboovale.gateway.engine_client import EngineClient
 from bamboovale.gateway.engines import Engines
 from bamboovale.gateway.front import Front
 from bamboovale.gateway.isolation import Isolation
@@ -133,7 +133,7 @@
         )
         calls = self._metrics.gateway_engine_calls
         self._owner_context = OwnerContext(
-            calls=EngineCalls(
+            calls=EngineClient(
                 self._control_pool,
                 self._translation,
                 node.name,
--- a/tests/owner_play.py
+++ b/tests/owner_play.py
@@ -15,7 +15,7 @@
 
 from bamboovale.decisions.mechanisms import ALL_ON
 from bamboovale.decisions.place_work import AdapterKey, EngineCapacity
-from bamboovale.gateway.engine_orders import EngineCallFailed
+from bamboovale.gateway.engine_client import EngineCallFailed
 from bamboovale.gateway.engine_owner import EngineOwner
 from bamboovale.gateway.messages import (
     PlaceHeld,
