--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -26,7 +26,7 @@
     PlaceRequest,
 )
 from bamboovale.gateway.model import EndpointRecord, EngineReport, OrderOutcome
-from bamboovale.gateway.order_giver import OrderGiver
+from bamboovale.gateway.order_sender import OrderSender
 from bamboovale.gateway.owner_context import OwnerContext
 
 REPORT_IDLE_S = 2.0
@@ -68,7 +68,7 @@
         self.answers = True
         self._context = context
         self._reply_by_ask: dict[str, Reply] = {}
-        self._orders = OrderGiver(
+        self._orders = OrderSender(
             lambda: self.record, context, lambda: self.places.slots.free()
         )
         self._wake = asyncio.Event()
--- a/bamboovale/gateway/order_giver.py
+++ b/bamboovale/gateway/order_sender.py
@@ -33,7 +33,7 @@
         return self.lost == 0
 
 
-class OrderGiver:
+class OrderSender:
     """Gives the orders of one engine's owner, one at a time.
 
     ``free_slots`` tells how many adapters still fit, as the owner believes.
--- a/tests/test_gateway_orders.py
+++ b/tests/test_gateway_orders.py
@@ -7,7 +7,7 @@
 
 from bamboovale.decisions.place_work import OrderLoad
 from bamboovale.gateway.model import EndpointRecord, EngineOrder, OrderOutcome
-from bamboovale.gateway.order_giver import OrderGiver
+from bamboovale.gateway.order_sender import OrderSender
 from tests.gateway_site import RecordedJournal
 from tests.owner_play import Trouble, play
 
@@ -23,7 +23,7 @@
 
     def __init__(self, reported: int) -> None:
         self.expected: list[int | None] = []
-        self.giver: OrderGiver | None = None
+        self.giver: OrderSender | None = None
         self._reported = reported
 
     async def order(
@@ -50,7 +50,7 @@
         fence=lambda engine_id: 1,
         may_order=lambda engine_id: True,
     )
-    giver = OrderGiver(lambda: RECORD, context, lambda: 1)  # type: ignore[arg-type]
+    giver = OrderSender(lambda: RECORD, context, lambda: 1)  # type: ignore[arg-type]
     calls.giver = giver
     giver.on_report(5)
     end = asyncio.run(giver.give(LOAD))
