--- a/bamboovale/gateway/order_sender.py
+++ b/bamboovale/gateway/order_sender.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True)
-class OrderEnd:
+class OrderResult:
     """How an order ended; ``outcome`` is None if it was not given or never answered.
 
     ``lost`` counts the tries without an answer.
@@ -64,7 +64,7 @@
         if self._orders_seen is None or orders > self._orders_seen:
             self._orders_seen = orders
 
-    async def give(self, action: OrderLoad | OrderUnload) -> OrderEnd:
+    async def give(self, action: OrderLoad | OrderUnload) -> OrderResult:
         """Give an order until its outcome is known, for a few tries.
 
         It ends without outcome once a report tells of another number: what was decided
@@ -76,12 +76,12 @@
             is_past = self._orders_seen != expected
             if expected is None or is_past or not self._may_order_by(fence):
                 self._note_not_given(action, fence, expected, lost)
-                return OrderEnd(None, lost)
+                return OrderResult(None, lost)
             outcome = await self._give_once(action, fence, expected, lost)
             if outcome is not OrderOutcome.UNKNOWN:
                 self._take(action, outcome, fence)
-                return OrderEnd(outcome, lost)
-        return OrderEnd(None, ORDER_TRIES)
+                return OrderResult(outcome, lost)
+        return OrderResult(None, ORDER_TRIES)
 
     def _note_not_given(
         self,
