--- a/bamboovale/gateway/engines.py
+++ b/bamboovale/gateway/engines.py
@@ -37,7 +37,7 @@
 """How often a waiting request looks whether the owner still lives."""
 
 
-class OwnerSilent(Exception):  # noqa: N818 - reads as what happened
+class OwnerUnavailable(Exception):  # noqa: N818 - reads as what happened
     """The engine's owner did not answer, or owns it no more."""
 
 
@@ -128,7 +128,7 @@
         """Ask the engine's owner for a place; raises OwnerSilent."""
         owner = self._owner_of(engine_id)
         if owner is None:
-            raise OwnerSilent("no owner")
+            raise OwnerUnavailable("no owner")
         future = self._send_ask(owner, request)
         # A caller who leaves leaves the future behind; its end is of no interest then.
         future.add_done_callback(_consume)
@@ -138,7 +138,7 @@
             self._cancel(owner, engine_id, request.ask_id)
             raise
         if reply.not_owner:
-            raise OwnerSilent("owned by another VM")
+            raise OwnerUnavailable("owned by another VM")
         return reply
 
     def started(self, place: HeldPlace) -> None:
@@ -254,11 +254,11 @@
                 break
             if self._owner_of(engine_id) != owner:
                 future.cancel()
-                raise OwnerSilent("the owner fell silent")
+                raise OwnerUnavailable("the owner fell silent")
         try:
             return future.result()
         except (PeerUnreachableError, PeerLostError, PeerTimeoutError) as error:
-            raise OwnerSilent(str(error)) from error
+            raise OwnerUnavailable(str(error)) from error
 
     def _cancel(self, owner: str, engine_id: str, ask_id: str) -> None:
         if owner != self.own_id:
--- a/bamboovale/gateway/place_search.py
+++ b/bamboovale/gateway/place_search.py
@@ -8,7 +8,7 @@
 from bamboovale.decisions.mechanisms import ALL_ON, Mechanisms
 from bamboovale.gateway.call import Call
 from bamboovale.gateway.endpoints import EndpointView
-from bamboovale.gateway.engines import Engines, HeldPlace, OwnerSilent
+from bamboovale.gateway.engines import Engines, HeldPlace, OwnerUnavailable
 from bamboovale.gateway.messages import PlaceRequest
 from bamboovale.gateway.model import EndpointRecord, ModelWork
 from bamboovale.gateway.stream_progress import Progress
@@ -93,7 +93,7 @@
                 return record, place
             except EngineFull as error:
                 full[chosen] = error
-            except OwnerSilent as error:
+            except OwnerUnavailable as error:
                 call.notes.setdefault("silent_owners", []).append(
                     {"engine": chosen, "error": str(error)}
                 )
