--- a/bamboovale/gateway/engines.py
+++ b/bamboovale/gateway/engines.py
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True)
-class HeldPlace:
+class GrantedPlace:
     """A place that was granted; to be released by the same VM."""
 
     engine_id: str
@@ -141,7 +141,7 @@
             raise OwnerUnavailable("owned by another VM")
         return reply
 
-    def started(self, place: HeldPlace) -> None:
+    def started(self, place: GrantedPlace) -> None:
         """Tell the owner that the first event has come."""
         local = self.owner_by_engine.get(place.engine_id)
         if place.owner != self.own_id:
@@ -150,7 +150,7 @@
         elif local is not None:
             local.started(place.ask_id)
 
-    def paused(self, place: HeldPlace, pause_s: float) -> None:
+    def paused(self, place: GrantedPlace, pause_s: float) -> None:
         """Tell the owner that the stream has just paused for long."""
         local = self.owner_by_engine.get(place.engine_id)
         if place.owner != self.own_id:
@@ -159,7 +159,7 @@
         elif local is not None:
             local.paused(place.ask_id, pause_s)
 
-    def hold(self, place: HeldPlace, request: PlaceRequest) -> None:
+    def hold(self, place: GrantedPlace, request: PlaceRequest) -> None:
         """Note a run that begins, for an owner that comes to own its engine later."""
         self._held_by_id[place.ask_id] = PlaceHeld(
             engine_id=place.engine_id,
@@ -191,7 +191,7 @@
 
     def release(
         self,
-        place: HeldPlace,
+        place: GrantedPlace,
         *,
         refused: bool = False,
         not_held: bool = False,
--- a/bamboovale/gateway/model_calls.py
+++ b/bamboovale/gateway/model_calls.py
@@ -7,7 +7,7 @@
 from bamboovale.gateway.attempts import Attempt, Attempts, MayHaveRun, NotRun
 from bamboovale.gateway.call import Call, CallCodec, CallFailed
 from bamboovale.gateway.endpoints import EndpointView
-from bamboovale.gateway.engines import Engines, HeldPlace
+from bamboovale.gateway.engines import Engines, GrantedPlace
 from bamboovale.gateway.events import EventBuffer, EventsBroken
 from bamboovale.gateway.model import EndpointRecord, ModelWork
 from bamboovale.gateway.place_search import PlaceSearch
@@ -79,7 +79,7 @@
         call: Call,
         work: ModelWork,
         record: EndpointRecord,
-        place: HeldPlace | None,
+        place: GrantedPlace | None,
         progress: Progress,
     ) -> bool:
         """Return True once the caller has the whole answer, False to try again."""
@@ -129,7 +129,7 @@
         call: Call,
         work: ModelWork,
         record: EndpointRecord,
-        place: HeldPlace | None,
+        place: GrantedPlace | None,
         progress: Progress,
     ) -> None:
         once_only = not call.route.resumable
@@ -183,7 +183,7 @@
         self,
         call: Call,
         attempt: Attempt,
-        place: HeldPlace | None,
+        place: GrantedPlace | None,
         progress: Progress,
     ) -> None:
         first = True
--- a/bamboovale/gateway/place_search.py
+++ b/bamboovale/gateway/place_search.py
@@ -8,7 +8,7 @@
 from bamboovale.decisions.mechanisms import ALL_ON, Mechanisms
 from bamboovale.gateway.call import Call
 from bamboovale.gateway.endpoints import EndpointView
-from bamboovale.gateway.engines import Engines, HeldPlace, OwnerUnavailable
+from bamboovale.gateway.engines import Engines, GrantedPlace, OwnerUnavailable
 from bamboovale.gateway.messages import PlaceRequest
 from bamboovale.gateway.model import EndpointRecord, ModelWork
 from bamboovale.gateway.stream_progress import Progress
@@ -65,7 +65,7 @@
         call: Call,
         work: ModelWork,
         progress: Progress,
-    ) -> tuple[EndpointRecord, HeldPlace | None]:
+    ) -> tuple[EndpointRecord, GrantedPlace | None]:
         """Return an engine that holds the adapter; None as place: without its owner."""
         version = self._version_of(work.model, work.adapter)
         silent: set[str] = set()
@@ -146,7 +146,7 @@
         views: dict,
         version: int,
         progress: Progress,
-    ) -> tuple[EndpointRecord, HeldPlace | None]:
+    ) -> tuple[EndpointRecord, GrantedPlace | None]:
         """Go straight to an engine that held the adapter when last heard of."""
         key = None if work.adapter is None else (work.model, work.adapter)
         holders = [
@@ -169,7 +169,7 @@
         view: EngineView,
         version: int,
         progress: Progress,
-    ) -> HeldPlace:
+    ) -> GrantedPlace:
         engine_id = view.engine_id
         now = self._now()
         ask_id = f"{call.facts.request_id}.{len(call.notes.get('asks', []))}"
@@ -204,7 +204,7 @@
         if reply.paced_s:
             note["paced_s"] = reply.paced_s
         assert owner is not None
-        place = HeldPlace(
+        place = GrantedPlace(
             engine_id,
             ask_id,
             owner,
