--- a/bamboovale/gateway/front.py
+++ b/bamboovale/gateway/request_handler.py
@@ -23,7 +23,7 @@
 """For a caller that names no deadline; the route's own time-out is shorter."""
 
 
-class Front:
+class RequestHandler:
     """Handles one request at a time for each connection."""
 
     def __init__(
--- a/bamboovale/gateway/vm.py
+++ b/bamboovale/gateway/vm.py
@@ -13,7 +13,6 @@
 from bamboovale.gateway.engine_assignment import EngineAssignment
 from bamboovale.gateway.engine_client import EngineClient
 from bamboovale.gateway.engines import Engines
-from bamboovale.gateway.front import Front
 from bamboovale.gateway.isolation import Isolation
 from bamboovale.gateway.journal import Journal
 from bamboovale.gateway.model_calls import ModelCalls
@@ -25,6 +24,7 @@
 from bamboovale.gateway.ports import Ports
 from bamboovale.gateway.records import Records
 from bamboovale.gateway.registration import Registration
+from bamboovale.gateway.request_handler import RequestHandler
 from bamboovale.gateway.settings_watch import ReadSettings, SettingsWatch
 from bamboovale.gateway.state_dump import dump_engines, dump_fleet, dump_reads
 from bamboovale.gateway.store import StoreError
@@ -207,9 +207,9 @@
             self.peering.tell,
         )
 
-    def _build_front(self) -> Front:
+    def _build_front(self) -> RequestHandler:
         attempts = Attempts(self._endpoint_pool, self._translation)
-        return Front(
+        return RequestHandler(
             codec=self._translation,
             plain_calls=PlainCalls(
                 attempts,
