--- a/bamboovale/gateway/status_exchange.py
+++ b/bamboovale/gateway/status_exchange.py
@@ -40,14 +40,14 @@
         if statuses.statuses:
             self._links.notify_all(self._subscriptions.current(now), statuses)
 
-    async def tell_statuses_forever(self) -> None:
+    async def publish_statuses_forever(self) -> None:
         """Tell at intervals, while there is something to tell."""
         while True:
             await asyncio.sleep(self._subscriptions.status_interval_s())
             if self._engines.owner_by_engine:
                 self.publish_statuses()
 
-    async def tell_loads_forever(self) -> None:
+    async def publish_loads_forever(self) -> None:
         """Tell how busy our engines are, between two statuses, where that changed."""
         told: EngineLoads | None = None
         while True:
