--- a/bamboovale/gateway/status_exchange.py
+++ b/bamboovale/gateway/status_exchange.py
@@ -88,7 +88,7 @@
         if due:
             self._links.notify_all(due, StatusSubscription())
 
-    async def ask_forever(self) -> None:
+    async def subscribe_forever(self) -> None:
         """Go on asking while requests come."""
         while True:
             await asyncio.sleep(INTEREST_LOOK_S)
--- a/bamboovale/gateway/vm.py
+++ b/bamboovale/gateway/vm.py
@@ -289,7 +289,7 @@
             self.peering.look_forever(),
             self.peering.status_exchange.publish_statuses_forever(),
             self.peering.status_exchange.publish_loads_forever(),
-            self.peering.status_exchange.ask_forever(),
+            self.peering.status_exchange.subscribe_forever(),
             self._isolation.watch(),
             self._assignment.write_notes_forever(),
             sweep_forever(self._endpoint_pool),
