--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -259,7 +259,7 @@
 
     async def _order(self, action: OrderLoad | OrderUnload) -> None:
         """Give an order and take its outcome."""
-        end = await self._orders.give(action)
+        end = await self._orders.send(action)
         now = self._context.now()
         if end.is_done:
             at_once = end.outcome is OrderOutcome.HOLDS
--- a/bamboovale/gateway/order_sender.py
+++ b/bamboovale/gateway/order_sender.py
@@ -64,7 +64,7 @@
         if self._orders_seen is None or orders > self._orders_seen:
             self._orders_seen = orders
 
-    async def give(self, action: OrderLoad | OrderUnload) -> OrderResult:
+    async def send(self, action: OrderLoad | OrderUnload) -> OrderResult:
         """Give an order until its outcome is known, for a few tries.
 
         It ends without outcome once a report tells of another number: what was decided
--- a/tests/test_gateway_orders.py
+++ b/tests/test_gateway_orders.py
@@ -53,7 +53,7 @@
     giver = OrderSender(lambda: RECORD, context, lambda: 1)  # type: ignore[arg-type]
     calls.giver = giver
     giver.on_report(5)
-    end = asyncio.run(giver.give(LOAD))
+    end = asyncio.run(giver.send(LOAD))
     assert not end.is_done
     assert not end.is_certain
     return calls.expected
