--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -277,7 +277,7 @@
 
     async def _look_forever(self) -> None:
         while True:
-            seen = await self.look()
+            seen = await self.poll()
             now = self._context.now()
             self._look_at = now + self._pause_s(seen)
             while (left := self._look_at - self._context.now()) > 0:
@@ -297,7 +297,7 @@
             return REPORT_LOADING_S
         return REPORT_IDLE_S
 
-    async def look(self) -> bool:
+    async def poll(self) -> bool:
         """Read one report; False if the engine gave none."""
         asked_at = self._context.now()
         try:
--- a/bamboovale/gateway/vm.py
+++ b/bamboovale/gateway/vm.py
@@ -303,7 +303,7 @@
     async def look_at_engines(self) -> None:
         """Read the reports of all owned engines now."""
         for owner in list(self._engines.owner_by_engine.values()):
-            await owner.look()
+            await owner.poll()
 
     def reload(self) -> None:
         """Look at the settings file now."""
