--- a/bamboovale/gateway/vm.py
+++ b/bamboovale/gateway/vm.py
@@ -300,7 +300,7 @@
         """Begin the planned stop."""
         self._stop_event.set()
 
-    async def look_at_engines(self) -> None:
+    async def poll_engines(self) -> None:
         """Read the reports of all owned engines now."""
         for owner in list(self._engines.owner_by_engine.values()):
             await owner.poll()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -320,7 +320,7 @@
         async def test() -> None:
             async with running_site() as site:
                 site.runners[0].lose_model()
-                await site.vms[0].vm.look_at_engines()
+                await site.vms[0].vm.poll_engines()
                 answer = await call(site.vms[0].address, "/chat/1", adapter="a1")
                 assert answer.status == 200
 
@@ -415,7 +415,7 @@
                 owner = site.owned()["runner-0"]
                 other = next(item for item in site.vms if item is not owner)
                 other.vm.peering.status_exchange.on_needed()
-                await owner.vm.look_at_engines()
+                await owner.vm.poll_engines()
                 await site.store.put(
                     "keyed.op",
                     f"version/{MODEL}.a1",
