--- a/bamboovale/gateway/settings_watch.py
+++ b/bamboovale/gateway/settings_watch.py
@@ -41,9 +41,9 @@
         """Look at the file for ever."""
         while True:
             await asyncio.sleep(LOOK_S)
-            self.look()
+            self.poll()
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Read the file; take what has changed, or log what is wrong with it."""
         result = self._read()
         if isinstance(result, Err):
--- a/bamboovale/gateway/vm.py
+++ b/bamboovale/gateway/vm.py
@@ -309,7 +309,7 @@
         """Look at the settings file now."""
         version = self.state.table.version if self.state.table is not None else None
         self.state.journal.write("reload", config=version)
-        self.settings_watch.look()
+        self.settings_watch.poll()
 
     def _on_settings(self, before: Any, after: Any) -> None:
         """Use changed settings; what is under way keeps what it began with."""
--- a/tests/test_gateway_settings.py
+++ b/tests/test_gateway_settings.py
@@ -44,7 +44,7 @@
 
     def test_an_unchanged_file_changes_nothing(self) -> None:
         file = ChangingFile()
-        file.watch.look()
+        file.watch.poll()
         assert file.changes == []
 
     def test_changed_bounds_come_into_force(self) -> None:
@@ -53,7 +53,7 @@
         share = file.state.share_of("booking")
         file.document["bounds"]["retry-burst"] = 4
         file.document["bounds"]["retry-ratio"] = 0.0
-        file.watch.look()
+        file.watch.poll()
         file.state.set_retry_bounds()
         assert len(file.changes) == 1
         assert file.state.node.bounds.retry_burst == 4
@@ -67,7 +67,7 @@
         file = ChangingFile()
         before = file.state.node
         file.findings = [Finding("bounds.grace-s", "must be a number")]
-        file.watch.look()
+        file.watch.poll()
         assert file.state.node is before
         assert file.changes == []
 
@@ -77,7 +77,7 @@
         callers = file.state.node.callers
         file.document["listen"]["front"] = "127.0.0.9:1"
         file.document["bounds"]["grace-s"] = 30
-        file.watch.look()
+        file.watch.poll()
         assert file.state.node.callers == callers
         assert file.state.node.bounds.grace_s == 30
 
