--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -186,7 +186,7 @@
         for targets, gossip in self.exchange.due(self._state.now()):
             self._links.notify_all(targets, gossip)
 
-    async def look_forever(self) -> None:
+    async def poll_forever(self) -> None:
         """Act on what others have told, for ever."""
         while True:
             due_at = self._state.now() + LOOK_S
--- a/bamboovale/gateway/vm.py
+++ b/bamboovale/gateway/vm.py
@@ -286,7 +286,7 @@
             self._own_engines(),
             self._registration.keep(),
             self.peering.exchange_forever(),
-            self.peering.look_forever(),
+            self.peering.poll_forever(),
             self.peering.status_exchange.publish_statuses_forever(),
             self.peering.status_exchange.publish_loads_forever(),
             self.peering.status_exchange.subscribe_forever(),
