--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -95,7 +95,7 @@
 
     # Requests of entry VMs.
 
-    def ask(self, entry_vm: str, request: PlaceRequest, reply: Reply) -> None:
+    def request_place(self, entry_vm: str, request: PlaceRequest, reply: Reply) -> None:
         """Decide on a request for a place, now or later."""
         now = self._context.now()
         ask = PlaceAsk(
--- a/bamboovale/gateway/engines.py
+++ b/bamboovale/gateway/engines.py
@@ -124,7 +124,7 @@
         key = None if request.adapter is None else (request.model, request.adapter)
         sent.loads += not view.holds(key, request.version)
 
-    async def ask(self, engine_id: str, request: PlaceRequest) -> PlaceReply:
+    async def request_place(self, engine_id: str, request: PlaceRequest) -> PlaceReply:
         """Ask the engine's owner for a place; raises OwnerSilent."""
         owner = self._owner_of(engine_id)
         if owner is None:
@@ -234,7 +234,7 @@
             if not future.done():
                 future.set_result(answer)
 
-        self.owner_by_engine[request.engine_id].ask(owner, request, reply)
+        self.owner_by_engine[request.engine_id].request_place(owner, request, reply)
         return future
 
     async def _wait_for(
--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -262,7 +262,7 @@
                 reply(PlaceReply(message.ask_id, reason="no owner", not_owner=True))
             else:
                 self.status_exchange.on_subscribe(sender)
-                owner.ask(sender, message, reply)
+                owner.request_place(sender, message, reply)
         elif isinstance(message, TableQuery):
             reply(TableAnswer(self._state.table.source if self._state.table else None))
         else:
--- a/bamboovale/gateway/place_search.py
+++ b/bamboovale/gateway/place_search.py
@@ -191,7 +191,7 @@
         note: dict[str, Any] = {"engine": engine_id, "owner": owner}
         call.notes.setdefault("asks", []).append(note)
         try:
-            reply = await self._engines.ask(engine_id, request)
+            reply = await self._engines.request_place(engine_id, request)
         finally:
             note["s"] = round(self._now() - now, 4)
         if reply.version is None:
--- a/tests/owner_play.py
+++ b/tests/owner_play.py
@@ -306,7 +306,7 @@
         version = self.engine.newest.get((BASE, name), 1)
         request = PlaceRequest("e", ask_id, BASE, name, version, 100, 20, 0, 0.8, 3.0)
         answer: asyncio.Future[PlaceReply] = asyncio.get_running_loop().create_future()
-        self._owner.ask("vm", request, lambda reply: _set(answer, reply))
+        self._owner.request_place("vm", request, lambda reply: _set(answer, reply))
         reply = await answer
         if reply.version is None:
             return
