--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -122,11 +122,11 @@
         self._reply_by_ask.pop(ask_id, None)
         self._carry_out(self.places.on_cancel(ask_id, self._context.now()))
 
-    def started(self, ask_id: str) -> None:
+    def on_started(self, ask_id: str) -> None:
         """Note the first event of a run."""
         self.places.on_started(ask_id, self._context.now())
 
-    def paused(self, ask_id: str, pause_s: float) -> None:
+    def on_paused(self, ask_id: str, pause_s: float) -> None:
         """Note a long pause of a run's stream."""
         now = self._context.now()
         evidence = self.places.pacing.evidence
@@ -141,7 +141,7 @@
                 **self.places.summary(now),
             )
 
-    def held(self, entry_vm: str, held: PlaceHeld) -> None:
+    def on_held(self, entry_vm: str, held: PlaceHeld) -> None:
         """Take over a run that an entry VM has under way."""
         now = self._context.now()
         ask = PlaceAsk(
@@ -174,7 +174,7 @@
             if aborted:
                 self._look_by(now + 2 * RUNS_LAG_S)
 
-    def entry_gone(self, entry_vm: str) -> None:
+    def on_entry_gone(self, entry_vm: str) -> None:
         """Free what a dead entry VM held."""
         self._carry_out(self.places.on_entry_gone(entry_vm, self._context.now()))
 
--- a/bamboovale/gateway/engines.py
+++ b/bamboovale/gateway/engines.py
@@ -148,7 +148,7 @@
             notice = PlaceStarted(place.engine_id, place.ask_id)
             self.links.notify(place.owner, notice)
         elif local is not None:
-            local.started(place.ask_id)
+            local.on_started(place.ask_id)
 
     def paused(self, place: GrantedPlace, pause_s: float) -> None:
         """Tell the owner that the stream has just paused for long."""
@@ -157,7 +157,7 @@
             notice = PlacePaused(place.engine_id, place.ask_id, round(pause_s, 4))
             self.links.notify(place.owner, notice)
         elif local is not None:
-            local.paused(place.ask_id, pause_s)
+            local.on_paused(place.ask_id, pause_s)
 
     def hold(self, place: GrantedPlace, request: PlaceRequest) -> None:
         """Note a run that begins, for an owner that comes to own its engine later."""
@@ -185,7 +185,7 @@
                 continue
             self._owner_by_held[ask_id] = owner
             if owner == self.own_id:
-                self.owner_by_engine[held.engine_id].held(self.own_id, held)
+                self.owner_by_engine[held.engine_id].on_held(self.own_id, held)
             else:
                 self.links.notify(owner, held)
 
--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -228,7 +228,7 @@
         )
         for vm_id in before - live:
             for owner in list(self._engines.owner_by_engine.values()):
-                owner.entry_gone(vm_id)
+                owner.on_entry_gone(vm_id)
         for share in self._state.share_by_service.values():
             share.fleet_size = len(live) + 1
 
@@ -302,8 +302,8 @@
     elif isinstance(message, PlaceRelease):
         owner.release(message)
     elif isinstance(message, PlaceHeld):
-        owner.held(sender, message)
+        owner.on_held(sender, message)
     elif isinstance(message, PlaceStarted):
-        owner.started(message.ask_id)
+        owner.on_started(message.ask_id)
     else:
-        owner.paused(message.ask_id, message.pause_s)
+        owner.on_paused(message.ask_id, message.pause_s)
--- a/tests/owner_play.py
+++ b/tests/owner_play.py
@@ -289,7 +289,7 @@
 
     def _tell_held(self, held: PlaceHeld) -> None:
         if held.ask_id in self._held_by_ask:
-            self._owner.held("vm", held)
+            self._owner.on_held("vm", held)
 
     def _name_version(self) -> None:
         name = self._adapter()
