--- a/bamboovale/gateway/engines.py
+++ b/bamboovale/gateway/engines.py
@@ -141,7 +141,7 @@
             raise OwnerUnavailable("owned by another VM")
         return reply
 
-    def started(self, place: GrantedPlace) -> None:
+    def notify_started(self, place: GrantedPlace) -> None:
         """Tell the owner that the first event has come."""
         local = self.owner_by_engine.get(place.engine_id)
         if place.owner != self.own_id:
@@ -150,7 +150,7 @@
         elif local is not None:
             local.on_started(place.ask_id)
 
-    def paused(self, place: GrantedPlace, pause_s: float) -> None:
+    def notify_paused(self, place: GrantedPlace, pause_s: float) -> None:
         """Tell the owner that the stream has just paused for long."""
         local = self.owner_by_engine.get(place.engine_id)
         if place.owner != self.own_id:
--- a/bamboovale/gateway/model_calls.py
+++ b/bamboovale/gateway/model_calls.py
@@ -193,11 +193,11 @@
                 if not events:
                     continue
                 if first and place is not None:
-                    self._engines.started(place)
+                    self._engines.notify_started(place)
                 first = False
                 pause_s = progress.pauses.on_events(len(events), self._now())
                 if place is not None and self._is_first_long(call, progress, pause_s):
-                    self._engines.paused(place, pause_s)
+                    self._engines.notify_paused(place, pause_s)
                 self._start(call, attempt, progress)
                 await call.responder.write(b"".join(event.data for event in events))
         except (AnswerBroken, EventsBroken) as error:
