--- a/bamboovale/gateway/engines.py
+++ b/bamboovale/gateway/engines.py
@@ -159,7 +159,7 @@
         elif local is not None:
             local.on_paused(place.ask_id, pause_s)
 
-    def hold(self, place: GrantedPlace, request: PlaceRequest) -> None:
+    def track_run(self, place: GrantedPlace, request: PlaceRequest) -> None:
         """Note a run that begins, for an owner that comes to own its engine later."""
         self._held_by_id[place.ask_id] = PlaceHeld(
             engine_id=place.engine_id,
@@ -173,7 +173,7 @@
         )
         self._owner_by_held[place.ask_id] = place.owner
 
-    def tell_new_owners(self) -> None:
+    def notify_new_owners(self) -> None:
         """Tell engines' new owners which of our runs are under way there.
 
         Guards against an owner that evicts an adapter in use, because the last owner
--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -145,7 +145,7 @@
         if self._assignment.assign():
             self.tell()
             self.status_exchange.publish_statuses()
-            self._engines.tell_new_owners()
+            self._engines.notify_new_owners()
 
     def on_store_answer(self, *, settled: bool) -> None:
         """Note that the store has answered us, and whether it is settled."""
@@ -212,7 +212,7 @@
         self._seen_version = self._state.fleet.version
         before = self._live
         self._live = live = {member.vm_id for member in self._state.fleet.live()}
-        self._engines.tell_new_owners()
+        self._engines.notify_new_owners()
         self.status_exchange.subscribe_to_owners()
         if live == before:
             return
--- a/bamboovale/gateway/place_search.py
+++ b/bamboovale/gateway/place_search.py
@@ -211,7 +211,7 @@
             reply.version,
             reply.confirmed,
         )
-        self._engines.hold(place, request)
+        self._engines.track_run(place, request)
         return place
 
     def _starts_within_s(self, call: Call, progress: Progress, now: float) -> float:
