--- a/bamboovale/gateway/engines.py
+++ b/bamboovale/gateway/engines.py
@@ -304,7 +304,9 @@
         owned = self.fleet.engine(engine_id)
         if owned is None or owned.status is None:
             owner = self._owner_of(engine_id)
-            return EngineView(engine_id, outlook_of(record), owner, is_told=False)
+            return EngineView(
+                engine_id, outlook_from_record(record), owner, is_told=False
+            )
         sent = self._sent_by_id.setdefault(engine_id, _Sent())
         if owned.heard_at > sent.heard_at:
             sent.heard_at = owned.heard_at
@@ -328,7 +330,7 @@
         future.exception()
 
 
-def outlook_of(record: EndpointRecord) -> EngineOutlook:
+def outlook_from_record(record: EndpointRecord) -> EngineOutlook:
     """Return what an engine's own record tells while no owner has spoken."""
     return EngineOutlook(
         loaded={
