--- a/bamboovale/gateway/attempts.py
+++ b/bamboovale/gateway/endpoint_client.py
@@ -42,7 +42,7 @@
 
 
 @dataclass
-class Attempt:
+class EndpointAnswer:
     """An answer that has begun."""
 
     connection: Connection
@@ -63,7 +63,7 @@
         return b"".join(parts)
 
 
-class Attempts:
+class EndpointClient:
     """Sends requests to endpoints over kept connections."""
 
     def __init__(self, pool: ConnectionPool, codec: CallCodec) -> None:
@@ -92,7 +92,7 @@
         request: h11.Request,
         body: bytes,
         request_id: str,
-    ) -> Attempt:
+    ) -> EndpointAnswer:
         """Send the request and wait for the head of its answer.
 
         Raises NotRun or MayHaveRun.
@@ -104,7 +104,7 @@
             facts = await self._own_head(connection, request_id)
         except AnswerBroken as error:
             raise MayHaveRun(f"no answer: {error}") from error
-        attempt = Attempt(connection, facts)
+        attempt = EndpointAnswer(connection, facts)
         if facts.not_run:
             await attempt.whole_body()
             raise NotRun(
--- a/bamboovale/gateway/model_calls.py
+++ b/bamboovale/gateway/model_calls.py
@@ -4,8 +4,13 @@
 
 from bamboovale.decisions.mechanisms import ALL_ON, Mechanisms
 from bamboovale.decisions.retry_share import RetryShare
-from bamboovale.gateway.attempts import Attempt, Attempts, MayHaveRun, NotRun
 from bamboovale.gateway.call import Call, CallCodec, CallFailed
+from bamboovale.gateway.endpoint_client import (
+    EndpointAnswer,
+    EndpointClient,
+    MayHaveRun,
+    NotRun,
+)
 from bamboovale.gateway.endpoints import EndpointView
 from bamboovale.gateway.engines import Engines, GrantedPlace
 from bamboovale.gateway.events import EventBuffer, EventsBroken
@@ -27,7 +32,7 @@
 
     def __init__(
         self,
-        attempts: Attempts,
+        attempts: EndpointClient,
         codec: CallCodec,
         endpoints: EndpointView,
         engines: Engines,
@@ -169,7 +174,7 @@
     async def _pass_whole(
         self,
         call: Call,
-        attempt: Attempt,
+        attempt: EndpointAnswer,
         progress: Progress,
     ) -> None:
         """Hand on an answer that is no stream, unless a stream has begun."""
@@ -182,7 +187,7 @@
     async def _pass_events(
         self,
         call: Call,
-        attempt: Attempt,
+        attempt: EndpointAnswer,
         place: GrantedPlace | None,
         progress: Progress,
     ) -> None:
@@ -216,7 +221,7 @@
         progress.held_up = True
         return True
 
-    def _start(self, call: Call, attempt: Attempt, progress: Progress) -> None:
+    def _start(self, call: Call, attempt: EndpointAnswer, progress: Progress) -> None:
         """Send the head with the first event: until then another engine may answer."""
         if progress.started:
             return
--- a/bamboovale/gateway/plain_calls.py
+++ b/bamboovale/gateway/plain_calls.py
@@ -6,8 +6,8 @@
 
 from bamboovale.decisions.retry_share import RetryShare
 from bamboovale.decisions.routing import ServiceRouter
-from bamboovale.gateway.attempts import Attempts, MayHaveRun, NotRun
 from bamboovale.gateway.call import Call, CallCodec, CallFailed, CallRefused
+from bamboovale.gateway.endpoint_client import EndpointClient, MayHaveRun, NotRun
 from bamboovale.gateway.endpoints import EndpointView
 from bamboovale.gateway.model import AnswerFacts, CallKind, EndpointRecord
 
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        attempts: Attempts,
+        attempts: EndpointClient,
         codec: CallCodec,
         endpoints: EndpointView,
         share_of: Callable[[str], RetryShare],
--- a/bamboovale/gateway/vm.py
+++ b/bamboovale/gateway/vm.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from bamboovale.decisions.mechanisms import ALL_ON, Mechanisms
-from bamboovale.gateway.attempts import Attempts
 from bamboovale.gateway.crashes import CrashGuard
+from bamboovale.gateway.endpoint_client import EndpointClient
 from bamboovale.gateway.endpoints import EndpointChange
 from bamboovale.gateway.engine_assignment import EngineAssignment
 from bamboovale.gateway.engine_client import EngineClient
@@ -208,7 +208,7 @@
         )
 
     def _build_front(self) -> RequestHandler:
-        attempts = Attempts(self._endpoint_pool, self._translation)
+        attempts = EndpointClient(self._endpoint_pool, self._translation)
         return RequestHandler(
             codec=self._translation,
             plain_calls=PlainCalls(
