--- a/bamboovale/gateway/endpoint_client.py
+++ b/bamboovale/gateway/endpoint_client.py
@@ -48,7 +48,7 @@
     connection: Connection
     facts: AnswerFacts
 
-    async def whole_body(self) -> bytes:
+    async def read_body(self) -> bytes:
         """Return the rest of the answer; raises MayHaveRun if it is cut short."""
         parts = []
         size = 0
@@ -86,7 +86,7 @@
         except ConnectFailed as error:
             raise NotRun(f"connect: {error}", reached=False) from error
 
-    async def begin(
+    async def send(
         self,
         connection: Connection,
         request: h11.Request,
@@ -106,7 +106,7 @@
             raise MayHaveRun(f"no answer: {error}") from error
         attempt = EndpointAnswer(connection, facts)
         if facts.not_run:
-            await attempt.whole_body()
+            await attempt.read_body()
             raise NotRun(
                 f"endpoint said {facts.status}",
                 reached=True,
--- a/bamboovale/gateway/model_calls.py
+++ b/bamboovale/gateway/model_calls.py
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        attempts: EndpointClient,
+        client: EndpointClient,
         codec: CallCodec,
         endpoints: EndpointView,
         engines: Engines,
@@ -41,7 +41,7 @@
         now: Callable[[], float],
         mechanisms: Mechanisms = ALL_ON,
     ) -> None:
-        self._attempts = attempts
+        self._client = client
         self._codec = codec
         self._engines = engines
         self._version_of = version_of
@@ -138,8 +138,8 @@
         progress: Progress,
     ) -> None:
         once_only = not call.route.resumable
-        connection = await self._attempts.connect(record, once_only=once_only)
-        with self._attempts.closing(record, connection):
+        connection = await self._client.connect(record, once_only=once_only)
+        with self._client.closing(record, connection):
             request = self._codec.encode_call(
                 call.request,
                 call.facts,
@@ -149,7 +149,7 @@
                 urgency=min(URGENCY_LAST, URGENCY_BASE + call.route.priority),
                 resume_after=progress.events.last_id,
             )
-            attempt = await self._attempts.begin(
+            attempt = await self._client.send(
                 connection,
                 request,
                 call.request.body,
@@ -178,7 +178,7 @@
         progress: Progress,
     ) -> None:
         """Hand on an answer that is no stream, unless a stream has begun."""
-        body = await attempt.whole_body()
+        body = await attempt.read_body()
         if progress.started:
             raise StreamCut(f"engine said {attempt.facts.status}")
         call.notes["status"] = attempt.facts.status
--- a/bamboovale/gateway/plain_calls.py
+++ b/bamboovale/gateway/plain_calls.py
@@ -28,14 +28,14 @@
 
     def __init__(
         self,
-        attempts: EndpointClient,
+        client: EndpointClient,
         codec: CallCodec,
         endpoints: EndpointView,
         share_of: Callable[[str], RetryShare],
         now: Callable[[], float],
         rng: random.Random,
     ) -> None:
-        self._attempts = attempts
+        self._client = client
         self._codec = codec
         self._endpoints = endpoints
         self._share_of = share_of
@@ -140,21 +140,21 @@
         record: EndpointRecord,
     ) -> tuple[AnswerFacts, bytes]:
         once_only = call.route.kind is not CallKind.SAFE
-        connection = await self._attempts.connect(record, once_only=once_only)
-        with self._attempts.closing(record, connection):
+        connection = await self._client.connect(record, once_only=once_only)
+        with self._client.closing(record, connection):
             request = self._codec.encode_call(
                 call.request,
                 call.facts,
                 registered_id=record.registered_id,
                 left_s=call.left_s(self._now()),
             )
-            attempt = await self._attempts.begin(
+            attempt = await self._client.send(
                 connection,
                 request,
                 call.request.body,
                 call.facts.request_id,
             )
-            return attempt.facts, await attempt.whole_body()
+            return attempt.facts, await attempt.read_body()
 
     def _choose(self, service: str, excluded: set[str]) -> EndpointRecord | None:
         router = self._router_by_service.setdefault(service, ServiceRouter())
--- a/bamboovale/gateway/vm.py
+++ b/bamboovale/gateway/vm.py
@@ -208,11 +208,11 @@
         )
 
     def _build_front(self) -> RequestHandler:
-        attempts = EndpointClient(self._endpoint_pool, self._translation)
+        client = EndpointClient(self._endpoint_pool, self._translation)
         return RequestHandler(
             codec=self._translation,
             plain_calls=PlainCalls(
-                attempts,
+                client,
                 self._translation,
                 self.state.endpoints,
                 self.state.share_of,
@@ -220,7 +220,7 @@
                 self._rng,
             ),
             model_calls=ModelCalls(
-                attempts,
+                client,
                 self._translation,
                 self.state.endpoints,
                 self._engines,
