--- a/bamboovale/gateway/endpoints.py
+++ b/bamboovale/gateway/endpoints.py
@@ -34,9 +34,9 @@
         self._store = store
         self._record_by_id: dict[str, EndpointRecord] = {}
         self._id_by_registration: dict[str, str] = {}
-        self._lapsed: set[str] = set()
+        self._expired: set[str] = set()
         self._listeners: list[Callable[[EndpointChange], None]] = []
-        store.listen(self.drop_lapsed)
+        store.listen(self.drop_expired)
 
     def listen(self, listener: Callable[[EndpointChange], None]) -> None:
         """Call the listener with each change."""
@@ -68,8 +68,8 @@
                 known=before.endpoint_id,
             )
             return False
-        returned = registered_id in self._lapsed
-        self._lapsed.discard(registered_id)
+        returned = registered_id in self._expired
+        self._expired.discard(registered_id)
         if before is not None and before.endpoint_id != record.endpoint_id:
             self._drop(registered_id)
             before = None
@@ -104,26 +104,26 @@
             fresh = replace(known, born_ms=born_ms, models=())
             self.on_record(record.registered_id, fresh)
 
-    def lapsed_ids(self) -> set[str]:
+    def expired_ids(self) -> set[str]:
         """Return the ids of endpoints whose records lapsed in an outage."""
-        return {self._id_by_registration[r] for r in self._lapsed}
+        return {self._id_by_registration[r] for r in self._expired}
 
     def registered_ids(self) -> set[str]:
         """Return the ids under which endpoints are registered."""
         return set(self._id_by_registration)
 
-    async def watch_lapsed(self, interval_s: float = 0.25) -> None:
+    async def watch_expired(self, interval_s: float = 0.25) -> None:
         """Take for gone what lapsed in an outage and did not come back."""
         while True:
             await asyncio.sleep(interval_s)
             if self._store.is_settled():
-                self.drop_lapsed()
+                self.drop_expired()
 
-    def drop_lapsed(self) -> None:
+    def drop_expired(self) -> None:
         """Drop what lapsed in an outage and has had the time to come back."""
-        for registered_id in self._lapsed:
+        for registered_id in self._expired:
             self._drop(registered_id)
-        self._lapsed.clear()
+        self._expired.clear()
 
     def _current(self, registered_id: str) -> EndpointRecord | None:
         endpoint_id = self._id_by_registration.get(registered_id)
@@ -153,14 +153,14 @@
         if self._store.is_settled():
             self._drop(registered_id)
             return
-        if registered_id not in self._lapsed:
+        if registered_id not in self._expired:
             self._journal.write(
                 "endpoint_lapsed",
                 endpoint=self._id_by_registration[registered_id],
                 settled_s_ago=finite_age_s(self._store.settled_s_ago()),
                 read_failed_s_ago=finite_age_s(self._store.read_failed_s_ago()),
             )
-        self._lapsed.add(registered_id)
+        self._expired.add(registered_id)
 
     def _drop(self, registered_id: str) -> None:
         endpoint_id = self._id_by_registration.pop(registered_id, None)
--- a/bamboovale/gateway/state_dump.py
+++ b/bamboovale/gateway/state_dump.py
@@ -69,7 +69,7 @@
             endpoint_id: {"service": record.service, "ready": record.ready}
             for endpoint_id, record in record_by_id.items()
         },
-        "lapsed_endpoints": sorted(state.endpoints.lapsed_ids()),
+        "lapsed_endpoints": sorted(state.endpoints.expired_ids()),
         "owner_by_engine": {
             engine_id: engines.owner_name(engine_id) for engine_id in record_by_id
         },
--- a/bamboovale/gateway/vm.py
+++ b/bamboovale/gateway/vm.py
@@ -281,7 +281,7 @@
         return [
             self.records.operator.follow(),
             self.records.endpoints.follow(),
-            self.state.endpoints.watch_lapsed(),
+            self.state.endpoints.watch_expired(),
             self.settings_watch.watch(),
             self._own_engines(),
             self._registration.keep(),
