--- a/bamboovale/gateway/store_contact.py
+++ b/bamboovale/gateway/lost_reads.py
@@ -28,7 +28,7 @@
 FIRST_SERVER_ERROR = 500
 
 
-class StoreContact:
+class LostReadDetector:
     """A metadata store that gives up waiting reads whose answer may be lost."""
 
     def __init__(
--- a/bamboovale/gateway/vm.py
+++ b/bamboovale/gateway/vm.py
@@ -15,6 +15,7 @@
 from bamboovale.gateway.engines import Engines
 from bamboovale.gateway.isolation import Isolation
 from bamboovale.gateway.journal import Journal
+from bamboovale.gateway.lost_reads import LostReadDetector
 from bamboovale.gateway.model_calls import ModelCalls
 from bamboovale.gateway.owner_context import OwnerContext
 from bamboovale.gateway.ownership import Ownership, lease_clock
@@ -28,7 +29,6 @@
 from bamboovale.gateway.settings_watch import ReadSettings, SettingsWatch
 from bamboovale.gateway.state_dump import dump_engines, dump_fleet, dump_reads
 from bamboovale.gateway.store import StoreError
-from bamboovale.gateway.store_contact import StoreContact
 from bamboovale.gateway.translation import Translation
 from bamboovale.gateway.vm_state import VMState
 from bamboovale.http1.pool import ConnectionPool, sweep_forever
@@ -99,7 +99,7 @@
         self._endpoint_pool = pool("endpoint")
         self._control_pool = pool("control")
         self._store_pool = pool("store")
-        self._store = StoreContact(
+        self._store = LostReadDetector(
             self._translation.store(
                 self._store_pool,
                 lambda name: self._metrics.gateway_store_calls.labels(name).inc(),
--- a/tests/test_gateway_store_contact.py
+++ b/tests/test_gateway_lost_reads.py
@@ -5,8 +5,8 @@
 
 import pytest
 
+from bamboovale.gateway.lost_reads import LostReadDetector
 from bamboovale.gateway.store import KeyedRecord, Membership, NoAnswerError, StoreError
-from bamboovale.gateway.store_contact import StoreContact
 
 Records = tuple[tuple[KeyedRecord, ...], int]
 
@@ -31,7 +31,7 @@
         return Membership(1, ())
 
 
-async def _join(contact: StoreContact) -> None:
+async def _join(contact: LostReadDetector) -> None:
     with contextlib.suppress(StoreError):
         await contact.join("g", "me", [], 2.0, 0, 1.0)
 
@@ -47,7 +47,7 @@
 
         async def test() -> None:
             store = SilentReads()
-            contact = StoreContact(store)  # type: ignore[arg-type]
+            contact = LostReadDetector(store)  # type: ignore[arg-type]
             read = asyncio.create_task(contact.read("t", 0, 20.0))
             await asyncio.sleep(0.01)
             store.error = StoreError("gone", status)
@@ -66,7 +66,7 @@
 
         async def test() -> None:
             store = SilentReads()
-            contact = StoreContact(store)  # type: ignore[arg-type]
+            contact = LostReadDetector(store)  # type: ignore[arg-type]
             store.error = StoreError("gone")
             await _join(contact)
             await asyncio.sleep(0.01)
@@ -86,7 +86,7 @@
 
         async def test() -> None:
             store = SilentReads()
-            contact = StoreContact(store)  # type: ignore[arg-type]
+            contact = LostReadDetector(store)  # type: ignore[arg-type]
             read = asyncio.create_task(contact.read("t", 0, 20.0))
             await asyncio.sleep(0.01)
             store.error = StoreError("too many", 429)
@@ -103,7 +103,7 @@
         """Guards against a stop that looks like a lost answer."""
 
         async def test() -> None:
-            contact = StoreContact(SilentReads())  # type: ignore[arg-type]
+            contact = LostReadDetector(SilentReads())  # type: ignore[arg-type]
             read = asyncio.create_task(contact.read("t", 0, 20.0))
             await asyncio.sleep(0.01)
             read.cancel()
