--- a/bamboovale/gateway/engine_assignment.py
+++ b/bamboovale/gateway/engine_assignment.py
@@ -10,7 +10,7 @@
 from bamboovale.gateway.model import EndpointRecord
 from bamboovale.gateway.owner_context import OwnerContext
 from bamboovale.gateway.ownership import Ownership
-from bamboovale.gateway.pool_notes import PoolNotes
+from bamboovale.gateway.stall_records import StallRecords
 from bamboovale.gateway.vm_state import VMState
 
 NOTES_LOOK_S = 1.0
@@ -28,13 +28,13 @@
         engines: Engines,
         ownership: Ownership,
         owner_context: OwnerContext,
-        notes: PoolNotes,
+        stall_records: StallRecords,
     ) -> None:
         self._state = state
         self._engines = engines
         self._ownership = ownership
         self._owner_context = owner_context
-        self._notes = notes
+        self._stall_records = stall_records
 
     def assign(self) -> bool:
         """Begin to own the engines that the store gives us, end to own others.
@@ -96,7 +96,7 @@
         services = {record.service for record in self._state.model_engines()}
         return {service: self.pool_held_up(service) for service in services}
 
-    async def write_notes_forever(self) -> None:
+    async def write_stall_records_forever(self) -> None:
         """Keep in the store what has been learned of the pools of engines.
 
         Only owners do: they hear of one another's engines.
@@ -107,7 +107,7 @@
                 continue
             owners = self._state.fleet.owner_ids()
             held_up = self.held_up_by_service()
-            await self._notes.write_changes(held_up, owners, self._state.now())
+            await self._stall_records.write_changes(held_up, owners, self._state.now())
 
     def on_note(self, service: str) -> None:
         """Let owners that know nothing yet begin with what was noted of their pool."""
@@ -117,7 +117,7 @@
 
     def _assume(self, owner: EngineOwner) -> None:
         service = owner.record.service
-        if self.pool_held_up(service) or self._notes.held_up(service):
+        if self.pool_held_up(service) or self._stall_records.held_up(service):
             owner.places.pacing.evidence.assume(self._state.now())
 
     def on_fenced(self, record: EndpointRecord, token: int) -> None:
--- a/bamboovale/gateway/registration.py
+++ b/bamboovale/gateway/registration.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable
 
-from bamboovale.gateway.pool_notes import PoolNotes
+from bamboovale.gateway.stall_records import StallRecords
 from bamboovale.gateway.store import KeyedRecord, MetadataStore, StoreError
 from bamboovale.gateway.vm_state import VMState
 
@@ -26,13 +26,13 @@
         state: VMState,
         topic: str,
         store: MetadataStore,
-        notes: PoolNotes,
+        stall_records: StallRecords,
         on_contact: Callable[[], None],
     ) -> None:
         self._state = state
         self._topic = topic
         self._store = store
-        self._notes = notes
+        self._stall_records = stall_records
         self._on_contact = on_contact
         self._is_written = False
 
@@ -67,7 +67,7 @@
 
     def _take(self, record: KeyedRecord) -> bool:
         """Take another VM's address; one bad record leaves the others in force."""
-        if record.value is None or self._notes.take(record):
+        if record.value is None or self._stall_records.take(record):
             return False
         try:
             host, port = json.loads(record.value)
--- a/bamboovale/gateway/pool_notes.py
+++ b/bamboovale/gateway/stall_records.py
@@ -26,7 +26,7 @@
 
 
 @dataclass
-class PoolNote:
+class StallRecord:
     """What is known of one pool; ``quiet_since`` is when it was last held up."""
 
     held_up: bool = False
@@ -50,7 +50,7 @@
         return self.written_at is None or now - self.written_at > WRITE_PAUSE_S
 
 
-class PoolNotes:
+class StallRecords:
     """The notes by service; ``on_note`` is called with each that was read anew."""
 
     def __init__(
@@ -66,11 +66,11 @@
         self._store = store
         self._journal = journal
         self._on_note = on_note
-        self._note_by_service: dict[str, PoolNote] = {}
+        self._record_by_service: dict[str, StallRecord] = {}
 
     def held_up(self, service: str) -> bool:
         """Tell whether reading held up the pool's streams when last noted."""
-        note = self._note_by_service.get(service)
+        note = self._record_by_service.get(service)
         return note is not None and note.held_up
 
     def take(self, record: KeyedRecord) -> bool:
@@ -78,14 +78,14 @@
         if not record.key.startswith(KEY_PREFIX):
             return False
         service = record.key.removeprefix(KEY_PREFIX)
-        if service in self._note_by_service or record.value is None:
+        if service in self._record_by_service or record.value is None:
             return True
         try:
             held_up = json.loads(record.value)["held_up"] is True
         except (ValueError, KeyError, TypeError) as error:
             self._journal.write("bad_record", key=record.key, error=repr(error))
             return True
-        self._note_by_service[service] = PoolNote(held_up)
+        self._record_by_service[service] = StallRecord(held_up)
         self._journal.write("pool_noted", service=service, held_up=held_up)
         self._on_note(service)
         return True
@@ -98,7 +98,7 @@
     ) -> None:
         """Write what has changed, if we are the owner of engines that does."""
         for service, held_up in held_up_by_service.items():
-            note = self._note_by_service.setdefault(service, PoolNote())
+            note = self._record_by_service.setdefault(service, StallRecord())
             if not note.may_write(now) or not note.judge(held_up, now):
                 continue
             if self._own_id in first_members(service, owner_ids, 1):
--- a/bamboovale/gateway/vm.py
+++ b/bamboovale/gateway/vm.py
@@ -21,12 +21,12 @@
 from bamboovale.gateway.ownership import Ownership, lease_clock
 from bamboovale.gateway.peering import Peering
 from bamboovale.gateway.plain_calls import PlainCalls
-from bamboovale.gateway.pool_notes import PoolNotes
 from bamboovale.gateway.ports import Ports
 from bamboovale.gateway.records import Records
 from bamboovale.gateway.registration import Registration
 from bamboovale.gateway.request_handler import RequestHandler
 from bamboovale.gateway.settings_watch import ReadSettings, SettingsWatch
+from bamboovale.gateway.stall_records import StallRecords
 from bamboovale.gateway.state_dump import dump_engines, dump_fleet, dump_reads
 from bamboovale.gateway.store import StoreError
 from bamboovale.gateway.translation import Translation
@@ -157,7 +157,7 @@
             lambda suspect: self.peering.tell_suspect(suspect),
         )
         self._front = self._build_front()
-        self._notes = PoolNotes(
+        self._stall_records = StallRecords(
             self.state.node.name,
             self._translation.registration_topic,
             self._store,
@@ -169,7 +169,7 @@
             self._engines,
             self._ownership,
             self._owner_context,
-            self._notes,
+            self._stall_records,
         )
         self.records = Records(
             self.state,
@@ -196,7 +196,7 @@
             self.state,
             self._translation.registration_topic,
             self._store,
-            self._notes,
+            self._stall_records,
             on_contact=self.peering.wake,
         )
         self._isolation = Isolation(
@@ -291,7 +291,7 @@
             self.peering.status_exchange.publish_loads_forever(),
             self.peering.status_exchange.subscribe_forever(),
             self._isolation.watch(),
-            self._assignment.write_notes_forever(),
+            self._assignment.write_stall_records_forever(),
             sweep_forever(self._endpoint_pool),
             sweep_forever(self._control_pool),
         ]
--- a/tests/test_gateway_pool_notes.py
+++ b/tests/test_gateway_stall_records.py
@@ -6,7 +6,7 @@
 
 from bamboovale.decisions.pause_evidence import PauseEvidence
 from bamboovale.gateway.journal import Journal
-from bamboovale.gateway.pool_notes import KEY_PREFIX, QUIET_S, PoolNotes
+from bamboovale.gateway.stall_records import KEY_PREFIX, QUIET_S, StallRecords
 from bamboovale.gateway.store import KeyedRecord, StoreError
 from tests.gateway_site import eventually, run, running_site
 
@@ -25,9 +25,9 @@
         self.puts.append((key, value))
 
 
-def notes(store: KeepingStore, noted: list[str], name: str = "me") -> PoolNotes:
+def notes(store: KeepingStore, noted: list[str], name: str = "me") -> StallRecords:
     journal = Journal(name, logging.getLogger("none"))
-    return PoolNotes(name, "t", store, journal, noted.append)  # type: ignore[arg-type]
+    return StallRecords(name, "t", store, journal, noted.append)  # type: ignore[arg-type]
 
 
 def record(value: Any) -> KeyedRecord:
