--- a/bamboovale/gateway/engine_assignment.py
+++ b/bamboovale/gateway/engine_assignment.py
@@ -109,7 +109,7 @@
             held_up = self.held_up_by_service()
             await self._stall_records.write_changes(held_up, owners, self._state.now())
 
-    def on_note(self, service: str) -> None:
+    def on_stall_record(self, service: str) -> None:
         """Let owners that know nothing yet begin with what was noted of their pool."""
         for owner in self._engines.owner_by_engine.values():
             if owner.record.service == service:
@@ -117,7 +117,7 @@
 
     def _assume(self, owner: EngineOwner) -> None:
         service = owner.record.service
-        if self.pool_held_up(service) or self._stall_records.held_up(service):
+        if self.pool_held_up(service) or self._stall_records.is_stalled(service):
             owner.places.pacing.evidence.assume(self._state.now())
 
     def on_fenced(self, record: EndpointRecord, token: int) -> None:
--- a/bamboovale/gateway/registration.py
+++ b/bamboovale/gateway/registration.py
@@ -67,7 +67,7 @@
 
     def _take(self, record: KeyedRecord) -> bool:
         """Take another VM's address; one bad record leaves the others in force."""
-        if record.value is None or self._stall_records.take(record):
+        if record.value is None or self._stall_records.apply(record):
             return False
         try:
             host, port = json.loads(record.value)
--- a/bamboovale/gateway/stall_records.py
+++ b/bamboovale/gateway/stall_records.py
@@ -29,20 +29,20 @@
 class StallRecord:
     """What is known of one pool; ``quiet_since`` is when it was last held up."""
 
-    held_up: bool = False
+    stalled: bool = False
     quiet_since: float | None = None
     written_at: float | None = None
 
-    def judge(self, held_up: bool, now: float) -> bool:
+    def evaluate(self, stalled: bool, now: float) -> bool:
         """Take what is seen now; return whether the note changes by it."""
-        if held_up:
+        if stalled:
             self.quiet_since = None
-            changed = not self.held_up
+            changed = not self.stalled
         else:
             self.quiet_since = now if self.quiet_since is None else self.quiet_since
-            changed = self.held_up and now - self.quiet_since > QUIET_S
+            changed = self.stalled and now - self.quiet_since > QUIET_S
         if changed:
-            self.held_up = held_up
+            self.stalled = stalled
         return changed
 
     def may_write(self, now: float) -> bool:
@@ -51,7 +51,7 @@
 
 
 class StallRecords:
-    """The notes by service; ``on_note`` is called with each that was read anew."""
+    """The notes by service; ``on_read`` is called with each that was read anew."""
 
     def __init__(
         self,
@@ -59,21 +59,21 @@
         topic: str,
         store: MetadataStore,
         journal: Journal,
-        on_note: Callable[[str], None],
+        on_read: Callable[[str], None],
     ) -> None:
         self._own_id = own_id
         self._topic = topic
         self._store = store
         self._journal = journal
-        self._on_note = on_note
+        self._on_read = on_read
         self._record_by_service: dict[str, StallRecord] = {}
 
-    def held_up(self, service: str) -> bool:
+    def is_stalled(self, service: str) -> bool:
         """Tell whether reading held up the pool's streams when last noted."""
-        note = self._record_by_service.get(service)
-        return note is not None and note.held_up
+        stored = self._record_by_service.get(service)
+        return stored is not None and stored.stalled
 
-    def take(self, record: KeyedRecord) -> bool:
+    def apply(self, record: KeyedRecord) -> bool:
         """Take a record; False if it is no note on a pool."""
         if not record.key.startswith(KEY_PREFIX):
             return False
@@ -81,35 +81,35 @@
         if service in self._record_by_service or record.value is None:
             return True
         try:
-            held_up = json.loads(record.value)["held_up"] is True
+            stalled = json.loads(record.value)["held_up"] is True
         except (ValueError, KeyError, TypeError) as error:
             self._journal.write("bad_record", key=record.key, error=repr(error))
             return True
-        self._record_by_service[service] = StallRecord(held_up)
-        self._journal.write("pool_noted", service=service, held_up=held_up)
-        self._on_note(service)
+        self._record_by_service[service] = StallRecord(stalled)
+        self._journal.write("pool_noted", service=service, held_up=stalled)
+        self._on_read(service)
         return True
 
     async def write_changes(
         self,
-        held_up_by_service: dict[str, bool],
+        stalled_by_service: dict[str, bool],
         owner_ids: set[str],
         now: float,
     ) -> None:
         """Write what has changed, if we are the owner of engines that does."""
-        for service, held_up in held_up_by_service.items():
-            note = self._record_by_service.setdefault(service, StallRecord())
-            if not note.may_write(now) or not note.judge(held_up, now):
+        for service, stalled in stalled_by_service.items():
+            stored = self._record_by_service.setdefault(service, StallRecord())
+            if not stored.may_write(now) or not stored.evaluate(stalled, now):
                 continue
             if self._own_id in first_members(service, owner_ids, 1):
-                note.written_at = now
-                await self._write(service, held_up)
+                stored.written_at = now
+                await self._write(service, stalled)
 
-    async def _write(self, service: str, held_up: bool) -> None:
-        value = json.dumps({"held_up": held_up}).encode()
+    async def _write(self, service: str, stalled: bool) -> None:
+        value = json.dumps({"held_up": stalled}).encode()
         try:
             await self._store.put(self._topic, f"{KEY_PREFIX}{service}", value)
         except StoreError as error:
             self._journal.write("pool_note_lost", service=service, error=str(error))
             return
-        self._journal.write("pool_note", service=service, held_up=held_up)
+        self._journal.write("pool_note", service=service, held_up=stalled)
--- a/bamboovale/gateway/vm.py
+++ b/bamboovale/gateway/vm.py
@@ -162,7 +162,7 @@
             self._translation.registration_topic,
             self._store,
             self.state.journal,
-            on_note=lambda service: self._assignment.on_note(service),
+            on_read=lambda service: self._assignment.on_stall_record(service),
         )
         self._assignment = EngineAssignment(
             self.state,
--- a/tests/test_gateway_stall_records.py
+++ b/tests/test_gateway_stall_records.py
@@ -58,8 +58,8 @@
             store = KeepingStore()
             noted: list[str] = []
             kept = notes(store, noted)
-            assert kept.take(record({"held_up": True}))
-            assert noted == ["llm"] and kept.held_up("llm")
+            assert kept.apply(record({"held_up": True}))
+            assert noted == ["llm"] and kept.is_stalled("llm")
             await kept.write_changes({"llm": False}, {"me"}, 0.0)
             await kept.write_changes({"llm": True}, {"me"}, 3.0)
             await kept.write_changes({"llm": False}, {"me"}, QUIET_S - 1.0)
@@ -75,16 +75,16 @@
             store.down = True
             kept = notes(store, [])
             await kept.write_changes({"llm": True}, {"me"}, 0.0)
-            assert kept.held_up("llm")
+            assert kept.is_stalled("llm")
 
         run(test())
 
     def test_a_malformed_note_is_passed_over(self) -> None:
         kept = notes(KeepingStore(), [])
         for value in (b"\xff", 7, {"held": 1}, None):
-            assert kept.take(record(value))
-        assert not kept.held_up("llm")
-        assert not kept.take(KeyedRecord("entry-1", b"[]", 1))
+            assert kept.apply(record(value))
+        assert not kept.is_stalled("llm")
+        assert not kept.apply(KeyedRecord("entry-1", b"[]", 1))
 
 
 class TestRestartOfAll:
