--- a/bamboovale/gateway/engine_assignment.py
+++ b/bamboovale/gateway/engine_assignment.py
@@ -83,7 +83,7 @@
                 )
         return wanted
 
-    def pool_held_up(self, service: str) -> bool:
+    def pool_stalled(self, service: str) -> bool:
         """Tell whether reading holds up the streams of a whole pool of engines."""
         records = self._state.endpoints.ready(service)
         engines = (self._state.fleet.engine(record.endpoint_id) for record in records)
@@ -91,10 +91,10 @@
         held_up = sum(status is not None and status.held_up for status in statuses)
         return is_pool_held_up(held_up, len(records))
 
-    def held_up_by_service(self) -> dict[str, bool]:
+    def stalled_by_service(self) -> dict[str, bool]:
         """Return for each pool of engines whether it is held up."""
         services = {record.service for record in self._state.model_engines()}
-        return {service: self.pool_held_up(service) for service in services}
+        return {service: self.pool_stalled(service) for service in services}
 
     async def write_stall_records_forever(self) -> None:
         """Keep in the store what has been learned of the pools of engines.
@@ -106,8 +106,8 @@
             if not self._engines.owner_by_engine:
                 continue
             owners = self._state.fleet.owner_ids()
-            held_up = self.held_up_by_service()
-            await self._stall_records.write_changes(held_up, owners, self._state.now())
+            stalled = self.stalled_by_service()
+            await self._stall_records.write_changes(stalled, owners, self._state.now())
 
     def on_stall_record(self, service: str) -> None:
         """Let owners that know nothing yet begin with what was noted of their pool."""
@@ -117,7 +117,7 @@
 
     def _assume(self, owner: EngineOwner) -> None:
         service = owner.record.service
-        if self.pool_held_up(service) or self._stall_records.is_stalled(service):
+        if self.pool_stalled(service) or self._stall_records.is_stalled(service):
             owner.places.pacing.evidence.assume(self._state.now())
 
     def on_fenced(self, record: EndpointRecord, token: int) -> None:
--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -352,8 +352,8 @@
     async def _tick_forever(self) -> None:
         while True:
             await asyncio.sleep(TICK_S)
-            pool_held_up = self._context.pool_held_up(self.record.service)
-            self.places.pacing.pool_held_up = pool_held_up
+            pool_stalled = self._context.pool_stalled(self.record.service)
+            self.places.pacing.pool_held_up = pool_stalled
             self.places.may_order = self._orders.may_order()
             if self.places.waiting():
                 self._carry_out(self.places.decide(self._context.now()))
--- a/tests/owner_play.py
+++ b/tests/owner_play.py
@@ -272,7 +272,7 @@
             on_fenced=lambda record, token: None,
             on_start_seen=lambda record, born_ms: None,
             hold_off_s=lambda: 0.3,
-            pool_held_up=lambda service: False,
+            pool_stalled=lambda service: False,
             mechanisms=ALL_ON,
         )
         self._owner = EngineOwner(self._record, self._capacity, context)
