--- a/bamboovale/gateway/engine_assignment.py
+++ b/bamboovale/gateway/engine_assignment.py
@@ -126,7 +126,7 @@
         seen = owned.fence if owned is not None else 0
         self._ownership.on_fenced(record.registered_id, max(seen, token))
 
-    def stand_in_for_lost_owners(self, *, store_answers_others: bool) -> bool:
+    def take_over_lost_engines(self, *, store_answers_others: bool) -> bool:
         """Own engines whose owner is gone while no VM reaches the store; True if any.
 
         Guards against a long outage in which VMs stop or die: the store cannot name
@@ -150,6 +150,6 @@
                 owned = self._state.fleet.engine(engine_id)
                 granted = self._ownership.fence(registered_id)
                 above = max(granted, owned.fence if owned is not None else 0)
-                self._ownership.stand_in(registered_id, above)
+                self._ownership.take_over(registered_id, above)
                 changed = True
         return changed
--- a/bamboovale/gateway/ownership.py
+++ b/bamboovale/gateway/ownership.py
@@ -75,7 +75,7 @@
         self._own_number = int.from_bytes(digest, "big") % VMS_PER_STEP
         self._held_until = 0.0
         self._held_since: dict[int, float] = {}
-        self._stand_in_token: dict[str, int] = {}
+        self._takeover_token: dict[str, int] = {}
         self._bumped_token: dict[str, int] = {}
         self._unreachable_since: float | None = None
         self._joined = False
@@ -84,15 +84,15 @@
 
     def holds(self, engine_id: str) -> bool:
         """Tell whether we own an engine, whatever the lease's age."""
-        if engine_id in self._stand_in_token:
+        if engine_id in self._takeover_token:
             return True
         return partition_of(engine_id, self._partitions) in self._held_since
 
     def fence(self, engine_id: str) -> int:
         """Return the fencing number of our orders to an engine."""
-        stand_in = self._stand_in_token.get(engine_id)
-        if stand_in is not None:
-            return stand_in
+        takeover = self._takeover_token.get(engine_id)
+        if takeover is not None:
+            return takeover
         granted = self.generation * TOKENS_PER_GENERATION
         return max(granted, self._bumped_token.get(engine_id, 0))
 
@@ -102,7 +102,7 @@
             return 0.0
         return self._clock() - self._unreachable_since
 
-    def stand_in(self, engine_id: str, above: int) -> None:
+    def take_over(self, engine_id: str, above: int) -> None:
         """Own an engine that nobody owns while the store cannot say who should.
 
         Only where engines refuse an older fencing number: the token is higher than the
@@ -110,11 +110,11 @@
         that the engine obeys one of them. It ends when the store answers again.
         """
         if self._fenced and not self._leaving:
-            self._stand_in_token[engine_id] = self._next_token(above)
+            self._takeover_token[engine_id] = self._next_token(above)
             self._journal.write(
                 "stand_in",
                 engine=engine_id,
-                token=self._stand_in_token[engine_id],
+                token=self._takeover_token[engine_id],
                 above=above,
                 store_away_s=round(self.away_s(), 2),
             )
@@ -125,8 +125,8 @@
         The rightful owner, confirmed by the store, goes on with a higher one; anybody
         else stops.
         """
-        if engine_id in self._stand_in_token:
-            del self._stand_in_token[engine_id]
+        if engine_id in self._takeover_token:
+            del self._takeover_token[engine_id]
             self._on_change()
         elif self.reachable and self.holds(engine_id):
             used = max(above, self.fence(engine_id))
@@ -147,7 +147,7 @@
         """
         if self._leaving:
             return False
-        if engine_id in self._stand_in_token:
+        if engine_id in self._takeover_token:
             return not self.reachable
         since = self._held_since.get(partition_of(engine_id, self._partitions))
         if since is None:
@@ -250,8 +250,8 @@
         now = self._clock()
         numbers = {partition.number for partition in membership.partitions}
         # A partition may come without a new generation, once its last owner let go.
-        moved = numbers != self._held_since.keys() or bool(self._stand_in_token)
-        self._stand_in_token.clear()
+        moved = numbers != self._held_since.keys() or bool(self._takeover_token)
+        self._takeover_token.clear()
         changed = moved or membership.generation != self.generation
         if moved:
             self._journal.write(
--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -196,7 +196,7 @@
             self.tell()
             self._note_live()
             store_age_s = self._state.now() - self.exchange.store_answered_at
-            if self._assignment.stand_in_for_lost_owners(
+            if self._assignment.take_over_lost_engines(
                 store_answers_others=store_age_s <= STORE_LOST_S
             ):
                 self.assign_engines()
