--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -508,7 +508,7 @@
         tokens = set()
         for name in ("a", "b"):
             held = ownership(FakeStore(), clock, name=name)
-            held.stand_in("e", above=4 << 24)
+            held.take_over("e", above=4 << 24)
             tokens.add(held.fence("e"))
         assert len(tokens) == 2
         assert min(tokens) > 4 << 24
@@ -518,7 +518,7 @@
             clock = [0.0]
             store = FakeStore()
             held = ownership(store, clock)
-            held.stand_in("e", above=0)
+            held.take_over("e", above=0)
             assert held.may_order("e")
             store.answer = Membership(5, ())
             await held._renew()
