--- a/bamboovale/gateway/engine_assignment.py
+++ b/bamboovale/gateway/engine_assignment.py
@@ -132,7 +132,7 @@
         Guards against a long outage in which VMs stop or die: the store cannot name
         new owners, and fewer and fewer engines could load anything.
         """
-        if self._ownership.away_s() < STORE_AWAY_S or store_answers_others:
+        if self._ownership.store_unreachable_s() < STORE_AWAY_S or store_answers_others:
             return False
         if not self._state.serving():
             return False
--- a/bamboovale/gateway/ownership.py
+++ b/bamboovale/gateway/ownership.py
@@ -96,7 +96,7 @@
         granted = self.generation * TOKENS_PER_GENERATION
         return max(granted, self._bumped_token.get(engine_id, 0))
 
-    def away_s(self) -> float:
+    def store_unreachable_s(self) -> float:
         """Return for how long the store has not answered us."""
         if self._unreachable_since is None:
             return 0.0
@@ -116,7 +116,7 @@
                 engine=engine_id,
                 token=self._takeover_token[engine_id],
                 above=above,
-                store_away_s=round(self.away_s(), 2),
+                store_away_s=round(self.store_unreachable_s(), 2),
             )
 
     def on_fenced(self, engine_id: str, above: int) -> None:
