--- a/bamboovale/gateway/isolation.py
+++ b/bamboovale/gateway/isolation.py
@@ -86,4 +86,4 @@
             silent=sorted(silent),
         )
         self._tell()
-        await self._ownership.step_back(isolated)
+        await self._ownership.set_suspended(isolated)
--- a/bamboovale/gateway/ownership.py
+++ b/bamboovale/gateway/ownership.py
@@ -80,7 +80,7 @@
         self._unreachable_since: float | None = None
         self._joined = False
         self._leaving = False
-        self._stepped_back = False
+        self._suspended = False
 
     def holds(self, engine_id: str) -> bool:
         """Tell whether we own an engine, whatever the lease's age."""
@@ -159,10 +159,10 @@
             return True
         return self._fenced and not self.reachable
 
-    async def keep(self) -> None:
+    async def renew_forever(self) -> None:
         """Renew for ever, unless others of a large fleet own the engines."""
         while True:
-            if self._stepped_back:
+            if self._suspended:
                 await asyncio.sleep(RETRY_S)
                 continue
             if not self._held_since and not self._may_own():
@@ -190,17 +190,17 @@
         except StoreError as error:
             self._journal.write("ownership_leave_failed", error=str(error))
 
-    async def step_back(self, back: bool) -> None:
+    async def set_suspended(self, suspended: bool) -> None:
         """Give up all engines while most other VMs do not hear us, or take part again.
 
         Guards against an owner that is cut off from its peers but not from the store:
         it would keep its engines and nobody could ask it for a place.
         """
-        if back == self._stepped_back:
+        if suspended == self._suspended:
             return
-        self._stepped_back = back
-        self._journal.write("ownership_step_back", back=back)
-        if back:
+        self._suspended = suspended
+        self._journal.write("ownership_step_back", back=suspended)
+        if suspended:
             self._held_since.clear()
             self._on_change()
             try:
@@ -241,7 +241,7 @@
             self._journal.write("ownership_store_regained", waited=self.generation)
         self.reachable = True
         self._unreachable_since = None
-        if self._leaving or self._stepped_back:
+        if self._leaving or self._suspended:
             return
         self._held_until = asked_at + TTL_S - MARGIN_S
         self._take(membership)
--- a/bamboovale/gateway/vm.py
+++ b/bamboovale/gateway/vm.py
@@ -375,7 +375,7 @@
         deadline = self.state.now() + FLEET_WAIT_S
         while not self.state.knows_fleet and self.state.now() < deadline:
             await asyncio.sleep(FLEET_LOOK_S)
-        await self._ownership.keep()
+        await self._ownership.renew_forever()
 
     def _on_table(self) -> None:
         self.peering.assign_engines()
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -552,7 +552,7 @@
             store.answer = Membership(4, ())
             may_own = [True]
             held = ownership(store, [0.0], may_own=lambda: may_own[0])
-            task = asyncio.get_running_loop().create_task(held.keep())
+            task = asyncio.get_running_loop().create_task(held.renew_forever())
             await asyncio.sleep(0.05)
             may_own[0] = False
             await asyncio.sleep(1.0)
