--- a/bamboovale/gateway/engines.py
+++ b/bamboovale/gateway/engines.py
@@ -58,7 +58,7 @@
 class _Sent:
     """What was sent to an engine since its owner was last heard."""
 
-    heard_at: float = 0.0
+    last_seen: float = 0.0
     tokens: int = 0
     loads: int = 0
 
@@ -271,7 +271,7 @@
         if engine_id in self.owner_by_engine:
             return self.own_id
         owned = self.fleet.engine(engine_id)
-        if owned is None or owned.given_up or owned.owner == self.own_id:
+        if owned is None or owned.released or owned.owner == self.own_id:
             return None
         return owned.owner if self.fleet.is_live(owned.owner) else None
 
@@ -308,8 +308,8 @@
                 engine_id, outlook_from_record(record), owner, is_told=False
             )
         sent = self._sent_by_id.setdefault(engine_id, _Sent())
-        if owned.heard_at > sent.heard_at:
-            sent.heard_at = owned.heard_at
+        if owned.last_seen > sent.last_seen:
+            sent.last_seen = owned.last_seen
             sent.tokens = 0
             sent.loads = 0
         return EngineView(
--- a/bamboovale/gateway/fleet.py
+++ b/bamboovale/gateway/fleet.py
@@ -28,16 +28,16 @@
 class OwnedEngine:
     """What is known of an engine's owner.
 
-    ``status`` is the owner's last word, None before the first. ``named`` tells whether
-    the owner's news about itself named the engine, ``given_up`` that it no longer does.
+    ``status`` is the owner's last word, None before the first. ``advertised`` tells whether
+    the owner's news about itself named the engine, ``released`` that it no longer does.
     """
 
     owner: str
     fence: int
     status: EngineStatus | None = None
-    heard_at: float = 0.0
-    named: bool = False
-    given_up: bool = False
+    last_seen: float = 0.0
+    advertised: bool = False
+    released: bool = False
 
 
 class Fleet:
@@ -171,7 +171,7 @@
             owned = OwnedEngine(vm_id, status.fence, status, now)
             known = self._engine_by_id.get(status.engine_id)
             if known is not None and known.owner == vm_id:
-                owned = replace(known, fence=status.fence, status=status, heard_at=now)
+                owned = replace(known, fence=status.fence, status=status, last_seen=now)
             if known is None or self._is_believed(owned, known):
                 self._engine_by_id[status.engine_id] = owned
 
@@ -179,7 +179,7 @@
         """Take how busy a VM's engines are, if it is their owner for us."""
         for load in loads:
             known = self._engine_by_id.get(load.engine_id)
-            if known is None or known.owner != vm_id or known.given_up:
+            if known is None or known.owner != vm_id or known.released:
                 continue
             if known.status is None:
                 continue
@@ -193,7 +193,7 @@
             self._engine_by_id[load.engine_id] = replace(
                 known,
                 status=status,
-                heard_at=now,
+                last_seen=now,
             )
 
     def drop_engines(self, live_ids: set[str]) -> None:
@@ -212,13 +212,13 @@
         for member in (self.membership.own, *self._live):
             for engine_id, fence in member.owned:
                 owned_now.add((engine_id, member.vm_id))
-                owned = OwnedEngine(member.vm_id, fence, named=True)
+                owned = OwnedEngine(member.vm_id, fence, advertised=True)
                 self._take_owner(engine_id, owned)
         for engine_id, known in self._engine_by_id.items():
-            is_named = (engine_id, known.owner) in owned_now
-            if not is_named and known.named and self.is_live(known.owner):
-                given_up = replace(known, named=False, given_up=True)
-                self._engine_by_id[engine_id] = given_up
+            is_advertised = (engine_id, known.owner) in owned_now
+            if not is_advertised and known.advertised and self.is_live(known.owner):
+                released = replace(known, advertised=False, released=True)
+                self._engine_by_id[engine_id] = released
 
     def _take_owner(self, engine_id: str, owned: OwnedEngine) -> None:
         known = self._engine_by_id.get(engine_id)
@@ -228,8 +228,8 @@
             self._engine_by_id[engine_id] = replace(
                 known,
                 fence=max(known.fence, owned.fence),
-                named=True,
-                given_up=False,
+                advertised=True,
+                released=False,
             )
         elif self._is_believed(owned, known):
             # Until the new owner speaks, the last one's word on what is loaded holds.
@@ -237,7 +237,7 @@
 
     def _is_believed(self, owned: OwnedEngine, known: OwnedEngine) -> bool:
         """Believe the owner with the highest fencing number, while it lives."""
-        if known.owner == owned.owner or known.given_up:
+        if known.owner == owned.owner or known.released:
             return True
         return owned.fence >= known.fence or not self.is_live(known.owner)
 
--- a/bamboovale/gateway/state_dump.py
+++ b/bamboovale/gateway/state_dump.py
@@ -74,7 +74,7 @@
             engine_id: engines.owner_name(engine_id) for engine_id in record_by_id
         },
         "status_s_ago": {
-            engine_id: round(state.now() - owned.heard_at, 2)
+            engine_id: round(state.now() - owned.last_seen, 2)
             for engine_id in record_by_id
             if (owned := state.fleet.engine(engine_id)) is not None
             and owned.status is not None
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -299,7 +299,7 @@
         assert fleet.engine("e") is not None
         fleet.membership.take(member("a", 2), 1.1)
         owned = fleet.engine("e")
-        assert owned is not None and owned.given_up
+        assert owned is not None and owned.released
         fleet.membership.take(member("b", 1, ("e", 4)), 1.2)
         owned = fleet.engine("e")
         assert owned is not None and owned.owner == "b"
@@ -313,7 +313,7 @@
         fleet.on_statuses("a", [status("e", 4)], 1.0)
         fleet.membership.take(member("b", 2), 1.1)
         owned = fleet.engine("e")
-        assert owned is not None and not owned.given_up and owned.owner == "a"
+        assert owned is not None and not owned.released and owned.owner == "a"
 
     def test_a_new_owner_goes_on_from_the_last_ones_word(self) -> None:
         """An owner stops; who asks its successor first knows what is loaded."""
@@ -340,7 +340,7 @@
         fleet.on_statuses("a", [status("e", 5)], 1.0)
         fleet.on_loads("a", (EngineLoad("e", 7, 3, 0.5, -2),), 1.1)
         owned = fleet.engine("e")
-        assert owned is not None and owned.heard_at == 1.1
+        assert owned is not None and owned.last_seen == 1.1
         assert owned.status is not None
         assert (owned.status.active, owned.status.open_slots) == (7, -2)
         assert owned.fence == 5
