--- a/bamboovale/gateway/engine_assignment.py
+++ b/bamboovale/gateway/engine_assignment.py
@@ -65,7 +65,7 @@
                 engine=engine_id,
                 generation=self._ownership.generation,
             )
-        self._state.fleet.drop_engines(set(self._state.endpoints.record_by_id))
+        self._state.fleet.retain_engines(set(self._state.endpoints.record_by_id))
         return owners.keys() != before
 
     def _engines_to_own(self) -> dict[str, EngineCapacity]:
--- a/bamboovale/gateway/fleet.py
+++ b/bamboovale/gateway/fleet.py
@@ -28,8 +28,9 @@
 class OwnedEngine:
     """What is known of an engine's owner.
 
-    ``status`` is the owner's last word, None before the first. ``advertised`` tells whether
-    the owner's news about itself named the engine, ``released`` that it no longer does.
+    ``status`` is the last that the owner published, None before the first.
+    ``advertised`` tells whether the owner's membership entry lists the engine,
+    ``released`` that it no longer does.
     """
 
     owner: str
@@ -49,8 +50,8 @@
         self._engine_by_id: dict[str, OwnedEngine] = {}
         self._seen_version = -1
         self._live: list[Member] = []
-        self._named: dict[str, list[Member]] = {}
-        self._named_at_version = -1
+        self._advertised: dict[str, list[Member]] = {}
+        self._advertised_at_version = -1
         self._first_by_use: dict[tuple[str, int], tuple[int, list[str]]] = {}
 
     @classmethod
@@ -102,20 +103,21 @@
         """Return the VMs that live and serve, ourselves included."""
         return [self.membership.own.vm_id, *(m.vm_id for m in self.serving())]
 
-    def named_by_domain(self) -> dict[str, list[Member]]:
+    def advertised_by_domain(self) -> dict[str, list[Member]]:
         """Return the VMs to name to callers, ourselves included, by failure domain."""
-        if self._named_at_version == self.version:
-            return self._named
+        if self._advertised_at_version == self.version:
+            return self._advertised
         own = self.membership.own
         members = [*self.serving(), *([own] if own.serving else [])]
         by_domain: dict[str, list[Member]] = {}
         for member in members:
             by_domain.setdefault(member.failure_domain, []).append(member)
-        self._named = {
-            domain: _named(found, len(members)) for domain, found in by_domain.items()
+        self._advertised = {
+            domain: _select_advertised(found, len(members))
+            for domain, found in by_domain.items()
         }
-        self._named_at_version = self.version
-        return self._named
+        self._advertised_at_version = self.version
+        return self._advertised
 
     def first(self, use: str, count: int) -> list[str]:
         """Return the serving VMs that do something for all, the same at every VM."""
@@ -196,7 +198,7 @@
                 last_seen=now,
             )
 
-    def drop_engines(self, live_ids: set[str]) -> None:
+    def retain_engines(self, live_ids: set[str]) -> None:
         """Forget engines that are gone."""
         for engine_id in list(self._engine_by_id):
             if engine_id not in live_ids:
@@ -242,7 +244,7 @@
         return owned.fence >= known.fence or not self.is_live(known.owner)
 
 
-def _named(members: list[Member], fleet_size: int) -> list[Member]:
+def _select_advertised(members: list[Member], fleet_size: int) -> list[Member]:
     candidates = [Candidate(m.vm_id, m.cores, m.busy) for m in members]
     member_by_id = {member.vm_id: member for member in members}
     return [member_by_id[v] for v in named_in_domain(candidates, fleet_size)]
--- a/bamboovale/gateway/ports.py
+++ b/bamboovale/gateway/ports.py
@@ -49,7 +49,7 @@
         """Return the addresses of serving VMs, near ones only if there are enough."""
         near: list[tuple[str, int]] = []
         others: list[tuple[str, int]] = []
-        for domain, members in self._state.fleet.named_by_domain().items():
+        for domain, members in self._state.fleet.advertised_by_domain().items():
             group = near if domain == failure_domain else others
             group.extend((item.address, item.callers_port) for item in members)
         return near if len(near) > 1 else near + others
--- a/bamboovale/gateway/state_dump.py
+++ b/bamboovale/gateway/state_dump.py
@@ -36,7 +36,7 @@
         },
         "named": {
             domain: [member.vm_id for member in members]
-            for domain, members in state.fleet.named_by_domain().items()
+            for domain, members in state.fleet.advertised_by_domain().items()
         },
         "store_answered_s_ago": finite_age_s(now - exchange.store_answered_at),
         "store_settled": state.store_watch.is_settled(),
