--- a/bamboovale/gateway/fleet.py
+++ b/bamboovale/gateway/fleet.py
@@ -52,7 +52,7 @@
         self._live: list[Member] = []
         self._advertised: dict[str, list[Member]] = {}
         self._advertised_at_version = -1
-        self._first_by_use: dict[tuple[str, int], tuple[int, list[str]]] = {}
+        self._designated_by_duty: dict[tuple[str, int], tuple[int, list[str]]] = {}
 
     @classmethod
     def from_node(
@@ -119,12 +119,12 @@
         self._advertised_at_version = self.version
         return self._advertised
 
-    def first(self, use: str, count: int) -> list[str]:
+    def designated(self, duty: str, count: int) -> list[str]:
         """Return the serving VMs that do something for all, the same at every VM."""
-        known = self._first_by_use.get((use, count))
+        known = self._designated_by_duty.get((duty, count))
         if known is None or known[0] != self.version:
-            known = (self.version, first_members(use, self.serving_ids(), count))
-            self._first_by_use[use, count] = known
+            known = (self.version, first_members(duty, self.serving_ids(), count))
+            self._designated_by_duty[duty, count] = known
         return known[1]
 
     def owner_candidates(self) -> list[str]:
@@ -135,7 +135,7 @@
         """
         expected = self.membership.contact_ids()
         if not expected:
-            return self.first("owners", OWNER_CANDIDATES)
+            return self.designated("owners", OWNER_CANDIDATES)
         vm_ids = {*self.serving_ids(), *expected}
         return first_members("owners", vm_ids, OWNER_CANDIDATES)
 
--- a/bamboovale/gateway/records.py
+++ b/bamboovale/gateway/records.py
@@ -141,7 +141,7 @@
             return False
         if fleet.expected_size() <= ALL_READ_UP_TO:
             return True
-        return self._state.node.name in fleet.first("readers", READERS)
+        return self._state.node.name in fleet.designated("readers", READERS)
 
     def _may_read_endpoints(self, news_age_s: float) -> bool:
         """Tell whether this VM reads the endpoints' topic itself now."""
