--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -104,7 +104,7 @@
             cut_link=links.cut,
         )
 
-    def tell(self) -> None:
+    def announce(self) -> None:
         """Tell what has changed of us with the next message to each neighbour."""
         self.exchange.config_version = self._config_version()
         is_new = self._state.fleet.membership.tell(
@@ -129,13 +129,13 @@
         self._fences_told_at = now
         return owned
 
-    def tell_leaving(self) -> None:
+    def announce_leaving(self) -> None:
         """Tell the neighbours that this process ends now."""
         self._state.fleet.membership.tell(serving=False, left=True)
         self.exchange.hurry()
         self._send_due()
 
-    def tell_suspect(self, suspect: SuspectSeen) -> None:
+    def broadcast_suspect(self, suspect: SuspectSeen) -> None:
         """Tell every VM of a request that crashed its endpoint."""
         if self.exchange.note_suspect(suspect):
             self._news.set()
@@ -143,7 +143,7 @@
     def assign_engines(self) -> None:
         """Own what we should; tell everybody at once if that changed."""
         if self._assignment.assign():
-            self.tell()
+            self.announce()
             self.status_exchange.publish_statuses()
             self._engines.notify_new_owners()
 
@@ -176,7 +176,7 @@
             if self._state.now() - began > START_WAIT_S:
                 break
             await asyncio.sleep(START_LOOK_S)
-        self.tell()
+        self.announce()
 
     def _note_lateness(self, late_s: float) -> None:
         if late_s > LAG_WARNING_S:
@@ -193,7 +193,7 @@
             await asyncio.sleep(LOOK_S)
             now = self._state.now()
             self._lateness.on_timer(now - due_at, now)
-            self.tell()
+            self.announce()
             self._note_live()
             store_age_s = self._state.now() - self.exchange.store_answered_at
             if self._assignment.take_over_lost_engines(
--- a/bamboovale/gateway/vm.py
+++ b/bamboovale/gateway/vm.py
@@ -154,7 +154,7 @@
         self._crashes = CrashGuard(
             self.state.journal,
             self.state.now,
-            lambda suspect: self.peering.tell_suspect(suspect),
+            lambda suspect: self.peering.broadcast_suspect(suspect),
         )
         self._front = self._build_front()
         self._stall_records = StallRecords(
@@ -204,7 +204,7 @@
             self.peering.exchange,
             self._ownership,
             self._store,
-            self.peering.tell,
+            self.peering.announce,
         )
 
     def _build_front(self) -> RequestHandler:
@@ -253,7 +253,7 @@
             self._spawn(job)
         await self._stop_event.wait()
         await self._drain()
-        self.peering.tell_leaving()
+        self.peering.announce_leaving()
         await asyncio.sleep(0)
         await self.close()
         self.state.journal.write("stopped")
@@ -324,7 +324,7 @@
         self.state.stopping = True
         began = self.state.now()
         self.state.journal.write("stopping", busy=self._callers.busy)
-        self.peering.tell()
+        self.peering.announce()
         with contextlib.suppress(StoreError, TimeoutError):
             async with asyncio.timeout(1.0):
                 await self._ownership.leave()
@@ -379,7 +379,7 @@
 
     def _on_table(self) -> None:
         self.peering.assign_engines()
-        self.peering.tell()
+        self.peering.announce()
 
     def _may_own_engines(self) -> bool:
         return self.state.node.name in self.state.fleet.owner_candidates()
