--- a/bamboovale/gateway/model_calls.py
+++ b/bamboovale/gateway/model_calls.py
@@ -72,10 +72,10 @@
             if progress.arrivals and not share.take(self._now()):
                 if place is not None:
                     self._engines.release(place)
-                raise progress.given_up("the retry budget is used up")
+                raise progress.final_error("the retry budget is used up")
             if await self._try_engine(call, work, engine, place, progress):
                 return
-        raise progress.given_up("no engine took the request")
+        raise progress.final_error("no engine took the request")
 
     # One engine.
 
@@ -216,9 +216,9 @@
     def _is_first_long(self, call: Call, progress: Progress, pause_s: float) -> bool:
         """Tell whether the stream has just become late by a pause."""
         allowed_s = call.route.gap_s
-        if allowed_s is None or pause_s <= allowed_s or progress.held_up:
+        if allowed_s is None or pause_s <= allowed_s or progress.stalled:
             return False
-        progress.held_up = True
+        progress.stalled = True
         return True
 
     def _start(self, call: Call, attempt: EndpointAnswer, progress: Progress) -> None:
--- a/bamboovale/gateway/place_search.py
+++ b/bamboovale/gateway/place_search.py
@@ -158,7 +158,7 @@
         ]
         if not holders:
             call.notes["engines"] = len(views)
-            raise progress.given_up("no engine can load it now", NO_ENGINE_RETRY_S)
+            raise progress.final_error("no engine can load it now", NO_ENGINE_RETRY_S)
         chosen = min(holders, key=lambda name: views[name].run_cost_s())
         return self._endpoints.record_by_id[chosen], None
 
@@ -232,4 +232,4 @@
 def _no_place(progress: Progress, full: dict[str, EngineFull]) -> Exception:
     """Return the refusal; its caller comes back when the first has a place."""
     first = min(full.values(), key=lambda refusal: refusal.retry_after_s)
-    return progress.given_up(f"no place: {first}", first.retry_after_s)
+    return progress.final_error(f"no place: {first}", first.retry_after_s)
--- a/bamboovale/gateway/stream_progress.py
+++ b/bamboovale/gateway/stream_progress.py
@@ -20,12 +20,12 @@
     events: EventBuffer
     pauses: Pauses = field(default_factory=Pauses)
     started: bool = False
-    held_up: bool = False
+    stalled: bool = False
     runs: int = 0
     arrivals: int = 0
     excluded: set[str] = field(default_factory=set)
 
-    def given_up(
+    def final_error(
         self,
         reason: str,
         retry_after_s: float = REFUSED_RETRY_S,
