--- a/bamboovale/gateway/events.py
+++ b/bamboovale/gateway/events.py
@@ -37,7 +37,7 @@
         self._last_at = now
         return pause_s
 
-    def notes(self, received_at: float) -> dict[str, float]:
+    def log_fields(self, received_at: float) -> dict[str, float]:
         """Return what the request's log line tells; times since its arrival."""
         if not self.events:
             return {}
@@ -65,7 +65,7 @@
         """Tell whether bytes of an unfinished event are held."""
         return bool(self._pending.strip())
 
-    def restart(self) -> None:
+    def discard_partial(self) -> None:
         """Forget a partial event: another endpoint sends it anew."""
         self._pending = b""
 
--- a/bamboovale/gateway/model_calls.py
+++ b/bamboovale/gateway/model_calls.py
@@ -62,7 +62,7 @@
         try:
             await self._run(call, work, progress)
         finally:
-            call.notes.update(progress.pauses.notes(call.request.received_at))
+            call.notes.update(progress.pauses.log_fields(call.request.received_at))
 
     async def _run(self, call: Call, work: ModelWork, progress: Progress) -> None:
         share = self._share_of(call.service)
@@ -125,7 +125,7 @@
     def _check_resumable(self, call: Call, progress: Progress, reason: str) -> None:
         """Raise unless another engine may go on with the stream."""
         if call.route.resumable and progress.runs < call.route.max_attempts:
-            progress.events.restart()
+            progress.events.discard_partial()
             return
         raise StreamCut(reason) if progress.started else CallFailed(reason)
 
