--- a/bamboovale/gateway/endpoints.py
+++ b/bamboovale/gateway/endpoints.py
@@ -94,14 +94,14 @@
             return False
         return self.on_record(registered_id, replace(known, ready=False))
 
-    def on_start_seen(self, record: EndpointRecord, born_ms: int) -> None:
+    def on_start_seen(self, record: EndpointRecord, started_ms: int) -> None:
         """Take an endpoint's own word that it has started since it registered.
 
         It holds nothing; its record says so with the next heartbeat.
         """
         known = self._current(record.registered_id)
         if known is not None:
-            fresh = replace(known, born_ms=born_ms, models=())
+            fresh = replace(known, started_ms=started_ms, models=())
             self.on_record(record.registered_id, fresh)
 
     def expired_ids(self) -> set[str]:
--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -327,16 +327,16 @@
         it holds nothing and counts orders anew. Taken for the same, its owner would
         send runs to adapters that are gone and order by a number of before.
         """
-        born_ms = report.born_ms
-        if born_ms is None or born_ms == self.record.born_ms:
+        started_ms = report.started_ms
+        if started_ms is None or started_ms == self.record.started_ms:
             return True
         self._context.journal.write(
             "report_of_another_start",
             engine=self.record.endpoint_id,
-            born_ms=born_ms,
+            born_ms=started_ms,
         )
-        if born_ms > (self.record.born_ms or 0):
-            self._context.on_start_seen(self.record, born_ms)
+        if started_ms > (self.record.started_ms or 0):
+            self._context.on_start_seen(self.record, started_ms)
         return False
 
     async def _tell_forever(self) -> None:
--- a/bamboovale/gateway/model.py
+++ b/bamboovale/gateway/model.py
@@ -144,7 +144,7 @@
 class EndpointRecord:
     """One start of an endpoint, as it registered itself.
 
-    ``registered_id`` may serve another start later. ``born_ms`` is the Unix millisecond
+    ``registered_id`` may serve another start later. ``started_ms`` is the Unix millisecond
     of this start, None if the endpoint does not tell. All that is kept of an endpoint
     is kept by ``endpoint_id``: no two starts share it, so that nothing believed of one
     start is taken for true of the next.
@@ -158,16 +158,16 @@
     slots: int
     models: tuple[LoadedModel, ...] = ()
     remaining_s: float | None = None
-    born_ms: int | None = None
+    started_ms: int | None = None
     endpoint_id: str = field(init=False)
 
     def __post_init__(self) -> None:
-        start = "" if self.born_ms is None else f"@{self.born_ms}"
+        start = "" if self.started_ms is None else f"@{self.started_ms}"
         object.__setattr__(self, "endpoint_id", f"{self.registered_id}{start}")
 
     def is_start_before(self, other: "EndpointRecord") -> bool:
         """Tell whether this is an earlier start of the same endpoint than the other."""
-        return (self.born_ms or 0) < (other.born_ms or 0)
+        return (self.started_ms or 0) < (other.started_ms or 0)
 
 
 @dataclass(frozen=True)
@@ -175,7 +175,7 @@
     """An engine's own report, some 100 ms old; ``orders`` counts accepted orders.
 
     ``loading`` are adapters in transit as (model, adapter); ``running`` the ids of the
-    requests that run. ``born_ms`` tells which start of the engine speaks.
+    requests that run. ``started_ms`` tells which start of the engine speaks.
     """
 
     models: tuple[LoadedModel, ...]
@@ -185,7 +185,7 @@
     queued: int
     active: int
     running: frozenset[str] = frozenset()
-    born_ms: int | None = None
+    started_ms: int | None = None
 
 
 @dataclass(frozen=True)
--- a/bamboovale/platform/endpoints.py
+++ b/bamboovale/platform/endpoints.py
@@ -94,7 +94,7 @@
         slots=entry.slots,
         models=_models(entry.models, what),
         remaining_s=None if remaining_ms is None else remaining_ms / 1000,
-        born_ms=entry.born,
+        started_ms=entry.born,
     )
 
 
@@ -140,7 +140,7 @@
         queued=entry.queued,
         active=entry.active,
         running=frozenset(str(row[0]) for row in entry.runs if row),
-        born_ms=entry.born,
+        started_ms=entry.born,
     )
 
 
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -212,9 +212,9 @@
     def test_the_start_of_an_endpoint_is_read(self) -> None:
         record = {**ENDPOINT_RECORD, "born": 1_760_000_000_123}
         decoded = decode_endpoint("e", json.dumps(record).encode())
-        assert decoded.born_ms == 1_760_000_000_123
+        assert decoded.started_ms == 1_760_000_000_123
         assert decoded.endpoint_id != decode_endpoint("e", _json(ENDPOINT_RECORD))
-        assert decode_report(b'{"born": 17, "models": []}').born_ms == 17
+        assert decode_report(b'{"born": 17, "models": []}').started_ms == 17
 
     def test_a_split_route_keeps_its_weights(self) -> None:
         document = configuration()
@@ -695,8 +695,8 @@
 class TestStartsUnderOneId:
     """An endpoint that starts again under the id that it had."""
 
-    OLD = EndpointRecord("e", "llm", ("10.0.0.1", 1), "a", True, 8, born_ms=1000)
-    NEW = EndpointRecord("e", "llm", ("10.0.0.2", 1), "a", True, 8, born_ms=2000)
+    OLD = EndpointRecord("e", "llm", ("10.0.0.1", 1), "a", True, 8, started_ms=1000)
+    NEW = EndpointRecord("e", "llm", ("10.0.0.2", 1), "a", True, 8, started_ms=2000)
 
     def test_the_start_before_is_gone_with_all_that_was_kept_of_it(self) -> None:
         """An engine crashes and registers again before its old record lapses.
@@ -717,7 +717,7 @@
         view, _ = _view()
         view.on_record("e", self.NEW)
         assert not view.on_record("e", self.OLD)
-        assert not view.on_record("e", replace(self.OLD, born_ms=None))
+        assert not view.on_record("e", replace(self.OLD, started_ms=None))
         assert view.ready("llm") == [self.NEW]
 
     def test_its_removal_takes_the_start_that_is_known(self) -> None:
@@ -733,7 +733,7 @@
         view.on_record("e", replace(self.OLD, models=held))
         view.on_start_seen(self.OLD, 1500)
         [record] = view.ready("llm")
-        assert (record.born_ms, record.models) == (1500, ())
+        assert (record.started_ms, record.models) == (1500, ())
         view.on_record("e", self.NEW)
         assert view.ready("llm") == [self.NEW]
 
