--- a/bamboovale/gateway/endpoints.py
+++ b/bamboovale/gateway/endpoints.py
@@ -94,7 +94,7 @@
             return False
         return self.on_record(registered_id, replace(known, ready=False))
 
-    def on_start_seen(self, record: EndpointRecord, started_ms: int) -> None:
+    def on_restart(self, record: EndpointRecord, started_ms: int) -> None:
         """Take an endpoint's own word that it has started since it registered.
 
         It holds nothing; its record says so with the next heartbeat.
--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -336,7 +336,7 @@
             born_ms=started_ms,
         )
         if started_ms > (self.record.started_ms or 0):
-            self._context.on_start_seen(self.record, started_ms)
+            self._context.on_restart(self.record, started_ms)
         return False
 
     async def _tell_forever(self) -> None:
--- a/bamboovale/gateway/owner_context.py
+++ b/bamboovale/gateway/owner_context.py
@@ -15,7 +15,7 @@
 
     ``fence`` is the fencing number of an engine's orders; ``on_fenced`` is told which
     number the engine refused. ``hold_off_s`` is how long a new owner evicts nothing,
-    until it has heard which runs are under way. ``on_start_seen`` is told when the
+    until it has heard which runs are under way. ``on_restart`` is told when the
     engine says that it started later than its record tells. ``pool_stalled`` tells of
     a service whether reading holds up the streams of many of its engines.
     """
@@ -26,7 +26,7 @@
     may_order: Callable[[str], bool]
     fence: Callable[[str], int]
     on_fenced: Callable[[EndpointRecord, int], None]
-    on_start_seen: Callable[[EndpointRecord, int], None]
+    on_restart: Callable[[EndpointRecord, int], None]
     hold_off_s: Callable[[], float]
     pool_stalled: Callable[[str], bool]
     mechanisms: Mechanisms
--- a/tests/owner_play.py
+++ b/tests/owner_play.py
@@ -270,7 +270,7 @@
             may_order=lambda engine_id: loop.time() >= self._no_leave_until,
             fence=lambda engine_id: self._fence,
             on_fenced=lambda record, token: None,
-            on_start_seen=lambda record, started_ms: None,
+            on_restart=lambda record, started_ms: None,
             hold_off_s=lambda: 0.3,
             pool_stalled=lambda service: False,
             mechanisms=ALL_ON,
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -731,7 +731,7 @@
         view, _ = _view()
         held = (LoadedModel("base", 1, {"a1": 1}),)
         view.on_record("e", replace(self.OLD, models=held))
-        view.on_start_seen(self.OLD, 1500)
+        view.on_restart(self.OLD, 1500)
         [record] = view.ready("llm")
         assert (record.started_ms, record.models) == (1500, ())
         view.on_record("e", self.NEW)
