--- a/bamboovale/gateway/crashes.py
+++ b/bamboovale/gateway/crashes.py
@@ -24,7 +24,7 @@
         self._tell = tell
         self._counts = CrashCounts()
 
-    def refuses(self, fingerprint: str) -> bool:
+    def is_blocked(self, fingerprint: str) -> bool:
         """Tell whether this request has crashed too many endpoints."""
         return self._counts.refuses(fingerprint, self._now())
 
@@ -37,7 +37,7 @@
         self._counts.on_endpoint_gone(endpoint_id, self._now())
 
     @contextmanager
-    def watching(self, fingerprint: str, call: Call) -> Iterator[None]:
+    def track(self, fingerprint: str, call: Call) -> Iterator[None]:
         """Note the endpoints at which the run broke off; clear it if it ends well."""
         try:
             yield
--- a/bamboovale/gateway/request_handler.py
+++ b/bamboovale/gateway/request_handler.py
@@ -117,17 +117,17 @@
         service = table.service_by_name.get(call.service)
         work = call.facts.work
         print_of = fingerprint(call.facts.host, call.request.target, call.request.body)
-        if self._crashes.refuses(print_of):
+        if self._crashes.is_blocked(print_of):
             raise CallRefused("it crashed endpoints before", SUSPECT_RETRY_S)
         if service is None or service.engines is None or work is None:
-            with self._crashes.watching(print_of, call):
+            with self._crashes.track(print_of, call):
                 await self._plain_calls.run(call)
             return
         if work.model not in service.engines.model_by_name:
             self._answer(call.responder, 404, None, call.facts.request_id)
             call.notes["reason"] = "unknown model"
             return
-        with self._crashes.watching(print_of, call):
+        with self._crashes.track(print_of, call):
             await self._model_calls.run(call, work)
 
     def _pick_service(self, route: Route) -> str:
