--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -252,7 +252,7 @@
         if isinstance(answer, TableAnswer) and answer.source is not None:
             table = self._translation.decode_table(answer.source)
             if isinstance(table, RoutingTable):
-                self._records.take_table(table, origin="peer")
+                self._records.apply_table(table, origin="peer")
 
     def on_request(self, sender: str, message: Any, reply: Any) -> None:
         """Answer a peer's request."""
--- a/bamboovale/gateway/records.py
+++ b/bamboovale/gateway/records.py
@@ -85,7 +85,7 @@
         """Return the followers of all topics."""
         return (self.operator, self.endpoints)
 
-    def take_table(self, table: RoutingTable, origin: str) -> None:
+    def apply_table(self, table: RoutingTable, origin: str) -> None:
         """Bring a configuration into force, unless it is older than ours."""
         before = self._state.table.version if self._state.table else None
         if before is not None and table.version <= before:
@@ -109,7 +109,7 @@
         if isinstance(change, str):
             self._state.journal.write("bad_record", key=record.key, error=change)
         elif isinstance(change, RoutingTable):
-            self.take_table(change, origin="store")
+            self.apply_table(change, origin="store")
         else:
             self._take_version(change.model, change.adapter, change.version)
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -528,7 +528,7 @@
                 decoded = first.vm._translation.decode_table(
                     __import__("json").dumps(newer).encode()
                 )
-                first.vm.records.take_table(decoded, origin="test")
+                first.vm.records.apply_table(decoded, origin="test")
                 assert table.version == 1
                 await eventually(lambda: second.vm.state.table.version == 9)
 
