--- a/bamboovale/gateway/call.py
+++ b/bamboovale/gateway/call.py
@@ -56,7 +56,7 @@
 class Call:
     """A request with its route; times are the event loop's.
 
-    ``give_up_at`` is when the caller or the route stops waiting. ``notes`` collects
+    ``deadline`` is when the caller or the route stops waiting. ``notes`` collects
     what the log line of the request tells.
     """
 
@@ -65,7 +65,7 @@
     route: Route
     service: str
     responder: Responder
-    give_up_at: float
+    deadline: float
     notes: dict[str, Any] = field(default_factory=dict)
     attempts: int = 0
 
@@ -76,7 +76,7 @@
 
     def left_s(self, now: float) -> float:
         """Return for how long somebody still waits."""
-        return max(0.0, self.give_up_at - now)
+        return max(0.0, self.deadline - now)
 
     def note_attempt(self, **fields: Any) -> dict[str, Any]:
         """Add one attempt to the log line; the returned map may be completed."""
--- a/bamboovale/gateway/request_handler.py
+++ b/bamboovale/gateway/request_handler.py
@@ -89,7 +89,7 @@
             route=route,
             service=self._pick_service(route),
             responder=responder,
-            give_up_at=request.received_at + wait_s,
+            deadline=request.received_at + wait_s,
         )
         outcome = "left"
         try:
@@ -100,7 +100,7 @@
     async def _run(self, call: Call, table: RoutingTable) -> str:
         """Run the call to its final answer; return the outcome for log and counter."""
         try:
-            async with asyncio.timeout_at(call.give_up_at):
+            async with asyncio.timeout_at(call.deadline):
                 await self._dispatch(call, table)
             return "answered"
         except TimeoutError:
@@ -203,7 +203,7 @@
             tokens=[work.prompt_tokens, work.output_tokens] if work else None,
             goal_s=call.route.goal_s,
             pause_allowed_s=call.route.gap_s,
-            wait_s=round(call.give_up_at - call.request.received_at, 3),
+            wait_s=round(call.deadline - call.request.received_at, 3),
             total_s=round(total_s, 4),
             config=table.version,
             **call.notes,
