--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -65,7 +65,7 @@
         self.record = record
         self.places = EnginePlaces(capacity, context.mechanisms)
         self.places.may_evict_from = context.now() + context.hold_off_s()
-        self.answers = True
+        self.reachable = True
         self._context = context
         self._reply_by_ask: dict[str, Reply] = {}
         self._orders = OrderSender(
@@ -111,7 +111,7 @@
             latest_start=now + request.starts_within_s,
             pause_s=request.pause_s,
         )
-        if not self.answers:
+        if not self.reachable:
             reply(PlaceReply(ask.ask_id, reason="engine is lost", not_owner=True))
             return
         self._reply_by_ask[ask.ask_id] = reply
@@ -201,7 +201,7 @@
             kept=outlook.kept,
             s_per_token=outlook.s_per_token,
             held_up=outlook.held_up,
-            answers=self.answers,
+            answers=self.reachable,
         )
 
     def load(self) -> EngineLoad:
@@ -313,7 +313,7 @@
             return False
         if not self._is_same_start(report):
             return False
-        self.answers = True
+        self.reachable = True
         self._orders.on_report(report.orders)
         now = self._context.now()
         self.places.may_order = self._orders.may_order()
@@ -387,7 +387,7 @@
 
     def _engine_lost(self) -> None:
         """Send whoever waits to other engines: this one does not answer any more."""
-        self.answers = False
+        self.reachable = False
         for ask_id, reply in list(self._reply_by_ask.items()):
             self.places.on_cancel(ask_id, self._context.now())
             reply(PlaceReply(ask_id, reason="engine is lost", not_owner=True))
