--- a/bamboovale/gateway/engines.py
+++ b/bamboovale/gateway/engines.py
@@ -92,7 +92,7 @@
     links: Links
     now: Callable[[], float]
     owner_by_engine: dict[str, EngineOwner] = field(default_factory=dict)
-    on_needed: Callable[[], None] = lambda: None
+    on_engine_needed: Callable[[], None] = lambda: None
     _sent_by_id: dict[str, _Sent] = field(default_factory=dict)
     _loaded_by_id: dict[str, _Loaded] = field(default_factory=dict)
     _held_by_id: dict[str, PlaceHeld] = field(default_factory=dict)
@@ -100,7 +100,7 @@
 
     def views(self, records: list[EndpointRecord]) -> dict[str, EngineView]:
         """Return what is known of each of the engines, for a request."""
-        self.on_needed()
+        self.on_engine_needed()
         self._forget_gone(records)
         return {
             record.endpoint_id: self._view(record)
--- a/bamboovale/gateway/status_exchange.py
+++ b/bamboovale/gateway/status_exchange.py
@@ -22,7 +22,7 @@
         self._links = links
         self._subscriptions = Subscriptions()
         self._interest = Interest()
-        engines.on_needed = self.on_needed
+        engines.on_engine_needed = self.on_needed
 
     # As an owner.
 
@@ -69,7 +69,7 @@
 
     # As a VM that chooses.
 
-    def on_needed(self) -> None:
+    def on_engine_needed(self) -> None:
         """Note that a request needs an engine; ask at once after a time without."""
         if self._interest.note_request(self._state.now()):
             self.subscribe_to_owners()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -414,7 +414,7 @@
                 runner.hold("a1")
                 owner = site.owned()["runner-0"]
                 other = next(item for item in site.vms if item is not owner)
-                other.vm.peering.status_exchange.on_needed()
+                other.vm.peering.status_exchange.on_engine_needed()
                 await owner.vm.poll_engines()
                 await site.store.put(
                     "keyed.op",
