--- a/bamboovale/gateway/model.py
+++ b/bamboovale/gateway/model.py
@@ -144,10 +144,10 @@
 class EndpointRecord:
     """One start of an endpoint, as it registered itself.
 
-    ``registered_id`` may serve another start later. ``started_ms`` is the Unix millisecond
-    of this start, None if the endpoint does not tell. All that is kept of an endpoint
-    is kept by ``endpoint_id``: no two starts share it, so that nothing believed of one
-    start is taken for true of the next.
+    ``registered_id`` may be used again by a later start. ``started_ms`` is the start
+    time in Unix milliseconds, None if the endpoint does not report it. State of an
+    endpoint is kept by ``endpoint_id``, which no two starts share, so that state of an
+    earlier start is not applied to a later one.
     """
 
     registered_id: str
--- a/bamboovale/gateway/status_exchange.py
+++ b/bamboovale/gateway/status_exchange.py
@@ -22,7 +22,7 @@
         self._links = links
         self._subscriptions = Subscriptions()
         self._interest = Interest()
-        engines.on_engine_needed = self.on_needed
+        engines.on_engine_needed = self.on_engine_needed
 
     # As an owner.
 
--- a/bamboovale/gateway/vm.py
+++ b/bamboovale/gateway/vm.py
@@ -144,7 +144,7 @@
             may_order=self._ownership.may_order,
             fence=self._ownership.fence,
             on_fenced=lambda record, token: self._assignment.on_fenced(record, token),
-            on_restart=self.state.endpoints.on_start_seen,
+            on_restart=self.state.endpoints.on_restart,
             pool_stalled=lambda service: self._assignment.pool_stalled(service),
             hold_off_s=lambda: HOLD_OFF_S + self.peering.exchange.spread_s(),
             mechanisms=self._mechanisms,
