--- a/bamboovale/gateway/attempts.py
+++ b/bamboovale/gateway/endpoint_client.py
@@ -42,13 +42,13 @@
 
 
 @dataclass
-class Attempt:
+class EndpointAnswer:
     """An answer that has begun."""
 
     connection: Connection
     facts: AnswerFacts
 
-    async def whole_body(self) -> bytes:
+    async def read_body(self) -> bytes:
         """Return the rest of the answer; raises MayHaveRun if it is cut short."""
         parts = []
         size = 0
@@ -63,7 +63,7 @@
         return b"".join(parts)
 
 
-class Attempts:
+class EndpointClient:
     """Sends requests to endpoints over kept connections."""
 
     def __init__(self, pool: ConnectionPool, codec: CallCodec) -> None:
@@ -86,13 +86,13 @@
         except ConnectFailed as error:
             raise NotRun(f"connect: {error}", reached=False) from error
 
-    async def begin(
+    async def send(
         self,
         connection: Connection,
         request: h11.Request,
         body: bytes,
         request_id: str,
-    ) -> Attempt:
+    ) -> EndpointAnswer:
         """Send the request and wait for the head of its answer.
 
         Raises NotRun or MayHaveRun.
@@ -104,9 +104,9 @@
             facts = await self._own_head(connection, request_id)
         except AnswerBroken as error:
             raise MayHaveRun(f"no answer: {error}") from error
-        attempt = Attempt(connection, facts)
+        attempt = EndpointAnswer(connection, facts)
         if facts.not_run:
-            await attempt.whole_body()
+            await attempt.read_body()
             raise NotRun(
                 f"endpoint said {facts.status}",
                 reached=True,
--- a/bamboovale/gateway/engine_assignment.py
+++ b/bamboovale/gateway/engine_assignment.py
@@ -10,7 +10,7 @@
 from bamboovale.gateway.model import EndpointRecord
 from bamboovale.gateway.owner_context import OwnerContext
 from bamboovale.gateway.ownership import Ownership
-from bamboovale.gateway.pool_notes import PoolNotes
+from bamboovale.gateway.stall_records import StallRecords
 from bamboovale.gateway.vm_state import VMState
 
 NOTES_LOOK_S = 1.0
@@ -28,13 +28,13 @@
         engines: Engines,
         ownership: Ownership,
         owner_context: OwnerContext,
-        notes: PoolNotes,
+        stall_records: StallRecords,
     ) -> None:
         self._state = state
         self._engines = engines
         self._ownership = ownership
         self._owner_context = owner_context
-        self._notes = notes
+        self._stall_records = stall_records
 
     def assign(self) -> bool:
         """Begin to own the engines that the store gives us, end to own others.
@@ -65,7 +65,7 @@
                 engine=engine_id,
                 generation=self._ownership.generation,
             )
-        self._state.fleet.drop_engines(set(self._state.endpoints.record_by_id))
+        self._state.fleet.retain_engines(set(self._state.endpoints.record_by_id))
         return owners.keys() != before
 
     def _engines_to_own(self) -> dict[str, EngineCapacity]:
@@ -83,7 +83,7 @@
                 )
         return wanted
 
-    def pool_held_up(self, service: str) -> bool:
+    def pool_stalled(self, service: str) -> bool:
         """Tell whether reading holds up the streams of a whole pool of engines."""
         records = self._state.endpoints.ready(service)
         engines = (self._state.fleet.engine(record.endpoint_id) for record in records)
@@ -91,12 +91,12 @@
         held_up = sum(status is not None and status.held_up for status in statuses)
         return is_pool_stalled(held_up, len(records))
 
-    def held_up_by_service(self) -> dict[str, bool]:
+    def stalled_by_service(self) -> dict[str, bool]:
         """Return for each pool of engines whether it is held up."""
         services = {record.service for record in self._state.model_engines()}
-        return {service: self.pool_held_up(service) for service in services}
+        return {service: self.pool_stalled(service) for service in services}
 
-    async def write_notes_forever(self) -> None:
+    async def write_stall_records_forever(self) -> None:
         """Keep in the store what has been learned of the pools of engines.
 
         Only owners do: they hear of one another's engines.
@@ -106,10 +106,10 @@
             if not self._engines.owner_by_engine:
                 continue
             owners = self._state.fleet.owner_ids()
-            held_up = self.held_up_by_service()
-            await self._notes.write_changes(held_up, owners, self._state.now())
+            stalled = self.stalled_by_service()
+            await self._stall_records.write_changes(stalled, owners, self._state.now())
 
-    def on_note(self, service: str) -> None:
+    def on_stall_record(self, service: str) -> None:
         """Let owners that know nothing yet begin with what was noted of their pool."""
         for owner in self._engines.owner_by_engine.values():
             if owner.record.service == service:
@@ -117,7 +117,7 @@
 
     def _assume(self, owner: EngineOwner) -> None:
         service = owner.record.service
-        if self.pool_held_up(service) or self._notes.held_up(service):
+        if self.pool_stalled(service) or self._stall_records.is_stalled(service):
             owner.places.pacing.stall_detector.assume_stalled(self._state.now())
 
     def on_fenced(self, record: EndpointRecord, token: int) -> None:
@@ -126,13 +126,13 @@
         seen = owned.fence if owned is not None else 0
         self._ownership.on_fenced(record.registered_id, max(seen, token))
 
-    def stand_in_for_lost_owners(self, *, store_answers_others: bool) -> bool:
+    def take_over_lost_engines(self, *, store_answers_others: bool) -> bool:
         """Own engines whose owner is gone while no VM reaches the store; True if any.
 
         Guards against a long outage in which VMs stop or die: the store cannot name
         new owners, and fewer and fewer engines could load anything.
         """
-        if self._ownership.away_s() < STORE_AWAY_S or store_answers_others:
+        if self._ownership.store_unreachable_s() < STORE_AWAY_S or store_answers_others:
             return False
         if not self._state.serving():
             return False
@@ -150,6 +150,6 @@
                 owned = self._state.fleet.engine(engine_id)
                 granted = self._ownership.fence(registered_id)
                 above = max(granted, owned.fence if owned is not None else 0)
-                self._ownership.stand_in(registered_id, above)
+                self._ownership.take_over(registered_id, above)
                 changed = True
         return changed
--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -16,7 +16,7 @@
     RefusalReason,
     Refuse,
 )
-from bamboovale.gateway.engine_orders import EngineCallFailed
+from bamboovale.gateway.engine_client import EngineCallFailed
 from bamboovale.gateway.messages import (
     EngineLoad,
     EngineStatus,
@@ -26,7 +26,7 @@
     PlaceRequest,
 )
 from bamboovale.gateway.model import EndpointRecord, EngineReport, OrderOutcome
-from bamboovale.gateway.order_giver import OrderGiver
+from bamboovale.gateway.order_sender import OrderSender
 from bamboovale.gateway.owner_context import OwnerContext
 
 REPORT_IDLE_S = 2.0
@@ -65,10 +65,10 @@
         self.record = record
         self.places = EnginePlaces(capacity, context.mechanisms)
         self.places.may_evict_from = context.now() + context.hold_off_s()
-        self.answers = True
+        self.reachable = True
         self._context = context
         self._reply_by_ask: dict[str, Reply] = {}
-        self._orders = OrderGiver(
+        self._orders = OrderSender(
             lambda: self.record, context, lambda: self.places.slots.free()
         )
         self._wake = asyncio.Event()
@@ -95,7 +95,7 @@
 
     # Requests of entry VMs.
 
-    def ask(self, entry_vm: str, request: PlaceRequest, reply: Reply) -> None:
+    def request_place(self, entry_vm: str, request: PlaceRequest, reply: Reply) -> None:
         """Decide on a request for a place, now or later."""
         now = self._context.now()
         ask = QueuedRequest(
@@ -111,7 +111,7 @@
             latest_start=now + request.starts_within_s,
             pause_s=request.pause_s,
         )
-        if not self.answers:
+        if not self.reachable:
             reply(PlaceReply(ask.ask_id, reason="engine is lost", not_owner=True))
             return
         self._reply_by_ask[ask.ask_id] = reply
@@ -122,11 +122,11 @@
         self._reply_by_ask.pop(ask_id, None)
         self._carry_out(self.places.on_cancel(ask_id, self._context.now()))
 
-    def started(self, ask_id: str) -> None:
+    def on_started(self, ask_id: str) -> None:
         """Note the first event of a run."""
         self.places.on_started(ask_id, self._context.now())
 
-    def paused(self, ask_id: str, pause_s: float) -> None:
+    def on_paused(self, ask_id: str, pause_s: float) -> None:
         """Note a long pause of a run's stream."""
         now = self._context.now()
         evidence = self.places.pacing.stall_detector
@@ -141,7 +141,7 @@
                 **self.places.summary(now),
             )
 
-    def held(self, entry_vm: str, held: PlaceHeld) -> None:
+    def on_held(self, entry_vm: str, held: PlaceHeld) -> None:
         """Take over a run that an entry VM has under way."""
         now = self._context.now()
         ask = QueuedRequest(
@@ -174,7 +174,7 @@
             if aborted:
                 self._look_by(now + 2 * RUNS_LAG_S)
 
-    def entry_gone(self, entry_vm: str) -> None:
+    def on_entry_gone(self, entry_vm: str) -> None:
         """Free what a dead entry VM held."""
         self._carry_out(self.places.on_entry_gone(entry_vm, self._context.now()))
 
@@ -201,7 +201,7 @@
             kept=snapshot.kept,
             s_per_token=snapshot.s_per_token,
             held_up=snapshot.held_up,
-            answers=self.answers,
+            answers=self.reachable,
         )
 
     def load(self) -> EngineLoad:
@@ -259,7 +259,7 @@
 
     async def _order(self, action: OrderLoad | OrderUnload) -> None:
         """Give an order and take its outcome."""
-        end = await self._orders.give(action)
+        end = await self._orders.send(action)
         now = self._context.now()
         if end.is_done:
             at_once = end.outcome is OrderOutcome.HOLDS
@@ -277,7 +277,7 @@
 
     async def _look_forever(self) -> None:
         while True:
-            seen = await self.look()
+            seen = await self.poll()
             now = self._context.now()
             self._look_at = now + self._pause_s(seen)
             while (left := self._look_at - self._context.now()) > 0:
@@ -297,7 +297,7 @@
             return REPORT_LOADING_S
         return REPORT_IDLE_S
 
-    async def look(self) -> bool:
+    async def poll(self) -> bool:
         """Read one report; False if the engine gave none."""
         asked_at = self._context.now()
         try:
@@ -313,11 +313,11 @@
             return False
         if not self._is_same_start(report):
             return False
-        self.answers = True
+        self.reachable = True
         self._orders.on_report(report.orders)
         now = self._context.now()
         self.places.may_order = self._orders.may_order()
-        self._carry_out(self.places.on_report(facts_of(report, asked_at), now))
+        self._carry_out(self.places.on_report(facts_from_report(report, asked_at), now))
         return True
 
     def _is_same_start(self, report: EngineReport) -> bool:
@@ -327,16 +327,16 @@
         it holds nothing and counts orders anew. Taken for the same, its owner would
         send runs to adapters that are gone and order by a number of before.
         """
-        born_ms = report.born_ms
-        if born_ms is None or born_ms == self.record.born_ms:
+        started_ms = report.started_ms
+        if started_ms is None or started_ms == self.record.started_ms:
             return True
         self._context.journal.write(
             "report_of_another_start",
             engine=self.record.endpoint_id,
-            born_ms=born_ms,
+            born_ms=started_ms,
         )
-        if born_ms > (self.record.born_ms or 0):
-            self._context.on_start_seen(self.record, born_ms)
+        if started_ms > (self.record.started_ms or 0):
+            self._context.on_restart(self.record, started_ms)
         return False
 
     async def _tell_forever(self) -> None:
@@ -352,8 +352,8 @@
     async def _tick_forever(self) -> None:
         while True:
             await asyncio.sleep(TICK_S)
-            pool_held_up = self._context.pool_held_up(self.record.service)
-            self.places.pacing.pool_stalled = pool_held_up
+            pool_stalled = self._context.pool_stalled(self.record.service)
+            self.places.pacing.pool_stalled = pool_stalled
             self.places.may_order = self._orders.may_order()
             if self.places.queue_length():
                 self._carry_out(self.places.decide(self._context.now()))
@@ -387,7 +387,7 @@
 
     def _engine_lost(self) -> None:
         """Send whoever waits to other engines: this one does not answer any more."""
-        self.answers = False
+        self.reachable = False
         for ask_id, reply in list(self._reply_by_ask.items()):
             self.places.on_cancel(ask_id, self._context.now())
             reply(PlaceReply(ask_id, reason="engine is lost", not_owner=True))
@@ -399,7 +399,7 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def facts_of(report: EngineReport, read_at: float) -> ReportedState:
+def facts_from_report(report: EngineReport, read_at: float) -> ReportedState:
     """Return a report as the decisions read it."""
     return ReportedState(
         version_by_model={model.name: model.version for model in report.models},
--- a/bamboovale/gateway/engines.py
+++ b/bamboovale/gateway/engines.py
@@ -37,7 +37,7 @@
 """How often a waiting request looks whether the owner still lives."""
 
 
-class OwnerSilent(Exception):  # noqa: N818 - reads as what happened
+class OwnerUnavailable(Exception):  # noqa: N818 - reads as what happened
     """The engine's owner did not answer, or owns it no more."""
 
 
@@ -58,7 +58,7 @@
 class _Sent:
     """What was sent to an engine since its owner was last heard."""
 
-    heard_at: float = 0.0
+    last_seen: float = 0.0
     tokens: int = 0
     loads: int = 0
 
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True)
-class HeldPlace:
+class GrantedPlace:
     """A place that was granted; to be released by the same VM."""
 
     engine_id: str
@@ -92,7 +92,7 @@
     links: Links
     now: Callable[[], float]
     owner_by_engine: dict[str, EngineOwner] = field(default_factory=dict)
-    on_needed: Callable[[], None] = lambda: None
+    on_engine_needed: Callable[[], None] = lambda: None
     _sent_by_id: dict[str, _Sent] = field(default_factory=dict)
     _loaded_by_id: dict[str, _Loaded] = field(default_factory=dict)
     _held_by_id: dict[str, PlaceHeld] = field(default_factory=dict)
@@ -100,7 +100,7 @@
 
     def views(self, records: list[EndpointRecord]) -> dict[str, EngineCandidate]:
         """Return what is known of each of the engines, for a request."""
-        self.on_needed()
+        self.on_engine_needed()
         self._forget_gone(records)
         return {
             record.endpoint_id: self._view(record)
@@ -124,11 +124,11 @@
         key = None if request.adapter is None else (request.model, request.adapter)
         sent.loads += not view.holds(key, request.version)
 
-    async def ask(self, engine_id: str, request: PlaceRequest) -> PlaceReply:
+    async def request_place(self, engine_id: str, request: PlaceRequest) -> PlaceReply:
         """Ask the engine's owner for a place; raises OwnerSilent."""
         owner = self._owner_of(engine_id)
         if owner is None:
-            raise OwnerSilent("no owner")
+            raise OwnerUnavailable("no owner")
         future = self._send_ask(owner, request)
         # A caller who leaves leaves the future behind; its end is of no interest then.
         future.add_done_callback(_consume)
@@ -138,28 +138,28 @@
             self._cancel(owner, engine_id, request.ask_id)
             raise
         if reply.not_owner:
-            raise OwnerSilent("owned by another VM")
+            raise OwnerUnavailable("owned by another VM")
         return reply
 
-    def started(self, place: HeldPlace) -> None:
+    def notify_started(self, place: GrantedPlace) -> None:
         """Tell the owner that the first event has come."""
         local = self.owner_by_engine.get(place.engine_id)
         if place.owner != self.own_id:
             notice = PlaceStarted(place.engine_id, place.ask_id)
             self.links.notify(place.owner, notice)
         elif local is not None:
-            local.started(place.ask_id)
+            local.on_started(place.ask_id)
 
-    def paused(self, place: HeldPlace, pause_s: float) -> None:
+    def notify_paused(self, place: GrantedPlace, pause_s: float) -> None:
         """Tell the owner that the stream has just paused for long."""
         local = self.owner_by_engine.get(place.engine_id)
         if place.owner != self.own_id:
             notice = PlacePaused(place.engine_id, place.ask_id, round(pause_s, 4))
             self.links.notify(place.owner, notice)
         elif local is not None:
-            local.paused(place.ask_id, pause_s)
+            local.on_paused(place.ask_id, pause_s)
 
-    def hold(self, place: HeldPlace, request: PlaceRequest) -> None:
+    def track_run(self, place: GrantedPlace, request: PlaceRequest) -> None:
         """Note a run that begins, for an owner that comes to own its engine later."""
         self._held_by_id[place.ask_id] = PlaceHeld(
             engine_id=place.engine_id,
@@ -173,7 +173,7 @@
         )
         self._owner_by_held[place.ask_id] = place.owner
 
-    def tell_new_owners(self) -> None:
+    def notify_new_owners(self) -> None:
         """Tell engines' new owners which of our runs are under way there.
 
         Guards against an owner that evicts an adapter in use, because the last owner
@@ -185,13 +185,13 @@
                 continue
             self._owner_by_held[ask_id] = owner
             if owner == self.own_id:
-                self.owner_by_engine[held.engine_id].held(self.own_id, held)
+                self.owner_by_engine[held.engine_id].on_held(self.own_id, held)
             else:
                 self.links.notify(owner, held)
 
     def release(
         self,
-        place: HeldPlace,
+        place: GrantedPlace,
         *,
         refused: bool = False,
         not_held: bool = False,
@@ -234,7 +234,7 @@
             if not future.done():
                 future.set_result(answer)
 
-        self.owner_by_engine[request.engine_id].ask(owner, request, reply)
+        self.owner_by_engine[request.engine_id].request_place(owner, request, reply)
         return future
 
     async def _wait_for(
@@ -254,11 +254,11 @@
                 break
             if self._owner_of(engine_id) != owner:
                 future.cancel()
-                raise OwnerSilent("the owner fell silent")
+                raise OwnerUnavailable("the owner fell silent")
         try:
             return future.result()
         except (PeerUnreachableError, PeerLostError, PeerTimeoutError) as error:
-            raise OwnerSilent(str(error)) from error
+            raise OwnerUnavailable(str(error)) from error
 
     def _cancel(self, owner: str, engine_id: str, ask_id: str) -> None:
         if owner != self.own_id:
@@ -271,7 +271,7 @@
         if engine_id in self.owner_by_engine:
             return self.own_id
         owned = self.fleet.engine(engine_id)
-        if owned is None or owned.given_up or owned.owner == self.own_id:
+        if owned is None or owned.released or owned.owner == self.own_id:
             return None
         return owned.owner if self.fleet.is_live(owned.owner) else None
 
@@ -304,10 +304,10 @@
         owned = self.fleet.engine(engine_id)
         if owned is None or owned.status is None:
             owner = self._owner_of(engine_id)
-            return EngineCandidate(engine_id, snapshot_of(record), owner, has_status=False)
+            return EngineCandidate(engine_id, snapshot_from_record(record), owner, has_status=False)
         sent = self._sent_by_id.setdefault(engine_id, _Sent())
-        if owned.heard_at > sent.heard_at:
-            sent.heard_at = owned.heard_at
+        if owned.last_seen > sent.last_seen:
+            sent.last_seen = owned.last_seen
             sent.tokens = 0
             sent.loads = 0
         return EngineCandidate(
@@ -328,7 +328,7 @@
         future.exception()
 
 
-def snapshot_of(record: EndpointRecord) -> EngineSnapshot:
+def snapshot_from_record(record: EndpointRecord) -> EngineSnapshot:
     """Return what an engine's own record tells while no owner has spoken."""
     return EngineSnapshot(
         loaded={
--- a/bamboovale/gateway/fleet.py
+++ b/bamboovale/gateway/fleet.py
@@ -28,16 +28,17 @@
 class OwnedEngine:
     """What is known of an engine's owner.
 
-    ``status`` is the owner's last word, None before the first. ``named`` tells whether
-    the owner's news about itself named the engine, ``given_up`` that it no longer does.
+    ``status`` is the last that the owner published, None before the first.
+    ``advertised`` tells whether the owner's membership entry lists the engine,
+    ``released`` that it no longer does.
     """
 
     owner: str
     fence: int
     status: EngineStatus | None = None
-    heard_at: float = 0.0
-    named: bool = False
-    given_up: bool = False
+    last_seen: float = 0.0
+    advertised: bool = False
+    released: bool = False
 
 
 class Fleet:
@@ -49,9 +50,9 @@
         self._engine_by_id: dict[str, OwnedEngine] = {}
         self._seen_version = -1
         self._live: list[Member] = []
-        self._named: dict[str, list[Member]] = {}
-        self._named_at_version = -1
-        self._first_by_use: dict[tuple[str, int], tuple[int, list[str]]] = {}
+        self._advertised: dict[str, list[Member]] = {}
+        self._advertised_at_version = -1
+        self._designated_by_duty: dict[tuple[str, int], tuple[int, list[str]]] = {}
 
     @classmethod
     def from_node(
@@ -102,27 +103,28 @@
         """Return the VMs that live and serve, ourselves included."""
         return [self.membership.own.vm_id, *(m.vm_id for m in self.serving())]
 
-    def named_by_domain(self) -> dict[str, list[Member]]:
+    def advertised_by_domain(self) -> dict[str, list[Member]]:
         """Return the VMs to name to callers, ourselves included, by failure domain."""
-        if self._named_at_version == self.version:
-            return self._named
+        if self._advertised_at_version == self.version:
+            return self._advertised
         own = self.membership.own
         members = [*self.serving(), *([own] if own.serving else [])]
         by_domain: dict[str, list[Member]] = {}
         for member in members:
             by_domain.setdefault(member.failure_domain, []).append(member)
-        self._named = {
-            domain: _named(found, len(members)) for domain, found in by_domain.items()
+        self._advertised = {
+            domain: _select_advertised(found, len(members))
+            for domain, found in by_domain.items()
         }
-        self._named_at_version = self.version
-        return self._named
+        self._advertised_at_version = self.version
+        return self._advertised
 
-    def first(self, use: str, count: int) -> list[str]:
+    def designated(self, duty: str, count: int) -> list[str]:
         """Return the serving VMs that do something for all, the same at every VM."""
-        known = self._first_by_use.get((use, count))
+        known = self._designated_by_duty.get((duty, count))
         if known is None or known[0] != self.version:
-            known = (self.version, first_members(use, self.serving_ids(), count))
-            self._first_by_use[use, count] = known
+            known = (self.version, first_members(duty, self.serving_ids(), count))
+            self._designated_by_duty[duty, count] = known
         return known[1]
 
     def owner_candidates(self) -> list[str]:
@@ -133,7 +135,7 @@
         """
         expected = self.membership.contact_ids()
         if not expected:
-            return self.first("owners", OWNER_CANDIDATES)
+            return self.designated("owners", OWNER_CANDIDATES)
         vm_ids = {*self.serving_ids(), *expected}
         return first_members("owners", vm_ids, OWNER_CANDIDATES)
 
@@ -171,7 +173,7 @@
             owned = OwnedEngine(vm_id, status.fence, status, now)
             known = self._engine_by_id.get(status.engine_id)
             if known is not None and known.owner == vm_id:
-                owned = replace(known, fence=status.fence, status=status, heard_at=now)
+                owned = replace(known, fence=status.fence, status=status, last_seen=now)
             if known is None or self._is_believed(owned, known):
                 self._engine_by_id[status.engine_id] = owned
 
@@ -179,7 +181,7 @@
         """Take how busy a VM's engines are, if it is their owner for us."""
         for load in loads:
             known = self._engine_by_id.get(load.engine_id)
-            if known is None or known.owner != vm_id or known.given_up:
+            if known is None or known.owner != vm_id or known.released:
                 continue
             if known.status is None:
                 continue
@@ -193,10 +195,10 @@
             self._engine_by_id[load.engine_id] = replace(
                 known,
                 status=status,
-                heard_at=now,
+                last_seen=now,
             )
 
-    def drop_engines(self, live_ids: set[str]) -> None:
+    def retain_engines(self, live_ids: set[str]) -> None:
         """Forget engines that are gone."""
         for engine_id in list(self._engine_by_id):
             if engine_id not in live_ids:
@@ -212,13 +214,13 @@
         for member in (self.membership.own, *self._live):
             for engine_id, fence in member.owned:
                 owned_now.add((engine_id, member.vm_id))
-                owned = OwnedEngine(member.vm_id, fence, named=True)
+                owned = OwnedEngine(member.vm_id, fence, advertised=True)
                 self._take_owner(engine_id, owned)
         for engine_id, known in self._engine_by_id.items():
-            is_named = (engine_id, known.owner) in owned_now
-            if not is_named and known.named and self.is_live(known.owner):
-                given_up = replace(known, named=False, given_up=True)
-                self._engine_by_id[engine_id] = given_up
+            is_advertised = (engine_id, known.owner) in owned_now
+            if not is_advertised and known.advertised and self.is_live(known.owner):
+                released = replace(known, advertised=False, released=True)
+                self._engine_by_id[engine_id] = released
 
     def _take_owner(self, engine_id: str, owned: OwnedEngine) -> None:
         known = self._engine_by_id.get(engine_id)
@@ -228,8 +230,8 @@
             self._engine_by_id[engine_id] = replace(
                 known,
                 fence=max(known.fence, owned.fence),
-                named=True,
-                given_up=False,
+                advertised=True,
+                released=False,
             )
         elif self._is_believed(owned, known):
             # Until the new owner speaks, the last one's word on what is loaded holds.
@@ -237,12 +239,12 @@
 
     def _is_believed(self, owned: OwnedEngine, known: OwnedEngine) -> bool:
         """Believe the owner with the highest fencing number, while it lives."""
-        if known.owner == owned.owner or known.given_up:
+        if known.owner == owned.owner or known.released:
             return True
         return owned.fence >= known.fence or not self.is_live(known.owner)
 
 
-def _named(members: list[Member], fleet_size: int) -> list[Member]:
+def _select_advertised(members: list[Member], fleet_size: int) -> list[Member]:
     candidates = [Candidate(m.vm_id, m.cores, m.busy) for m in members]
     member_by_id = {member.vm_id: member for member in members}
     return [member_by_id[v] for v in advertised_in_domain(candidates, fleet_size)]
--- a/bamboovale/gateway/model_calls.py
+++ b/bamboovale/gateway/model_calls.py
@@ -4,10 +4,15 @@
 
 from bamboovale.decisions.mechanisms import ALL_ON, Mechanisms
 from bamboovale.decisions.retry_share import RetryShare
-from bamboovale.gateway.attempts import Attempt, Attempts, MayHaveRun, NotRun
 from bamboovale.gateway.call import Call, CallCodec, CallFailed
+from bamboovale.gateway.endpoint_client import (
+    EndpointAnswer,
+    EndpointClient,
+    MayHaveRun,
+    NotRun,
+)
 from bamboovale.gateway.endpoints import EndpointView
-from bamboovale.gateway.engines import Engines, HeldPlace
+from bamboovale.gateway.engines import Engines, GrantedPlace
 from bamboovale.gateway.events import EventBuffer, EventsBroken
 from bamboovale.gateway.model import EndpointRecord, ModelWork
 from bamboovale.gateway.place_search import PlaceSearch
@@ -27,7 +32,7 @@
 
     def __init__(
         self,
-        attempts: Attempts,
+        client: EndpointClient,
         codec: CallCodec,
         endpoints: EndpointView,
         engines: Engines,
@@ -36,7 +41,7 @@
         now: Callable[[], float],
         mechanisms: Mechanisms = ALL_ON,
     ) -> None:
-        self._attempts = attempts
+        self._client = client
         self._codec = codec
         self._engines = engines
         self._version_of = version_of
@@ -57,7 +62,7 @@
         try:
             await self._run(call, work, progress)
         finally:
-            call.notes.update(progress.pauses.notes(call.request.received_at))
+            call.notes.update(progress.pauses.log_fields(call.request.received_at))
 
     async def _run(self, call: Call, work: ModelWork, progress: Progress) -> None:
         share = self._share_of(call.service)
@@ -67,10 +72,10 @@
             if progress.arrivals and not share.take(self._now()):
                 if place is not None:
                     self._engines.release(place)
-                raise progress.given_up("the retry budget is used up")
+                raise progress.final_error("the retry budget is used up")
             if await self._try_engine(call, work, engine, place, progress):
                 return
-        raise progress.given_up("no engine took the request")
+        raise progress.final_error("no engine took the request")
 
     # One engine.
 
@@ -79,7 +84,7 @@
         call: Call,
         work: ModelWork,
         record: EndpointRecord,
-        place: HeldPlace | None,
+        place: GrantedPlace | None,
         progress: Progress,
     ) -> bool:
         """Return True once the caller has the whole answer, False to try again."""
@@ -120,7 +125,7 @@
     def _check_resumable(self, call: Call, progress: Progress, reason: str) -> None:
         """Raise unless another engine may go on with the stream."""
         if call.route.resumable and progress.runs < call.route.max_attempts:
-            progress.events.restart()
+            progress.events.discard_partial()
             return
         raise StreamCut(reason) if progress.started else CallFailed(reason)
 
@@ -129,12 +134,12 @@
         call: Call,
         work: ModelWork,
         record: EndpointRecord,
-        place: HeldPlace | None,
+        place: GrantedPlace | None,
         progress: Progress,
     ) -> None:
         once_only = not call.route.resumable
-        connection = await self._attempts.connect(record, once_only=once_only)
-        with self._attempts.closing(record, connection):
+        connection = await self._client.connect(record, once_only=once_only)
+        with self._client.closing(record, connection):
             request = self._codec.encode_call(
                 call.request,
                 call.facts,
@@ -144,7 +149,7 @@
                 urgency=min(URGENCY_LAST, URGENCY_BASE + call.route.priority),
                 resume_after=progress.events.last_id,
             )
-            attempt = await self._attempts.begin(
+            attempt = await self._client.send(
                 connection,
                 request,
                 call.request.body,
@@ -169,11 +174,11 @@
     async def _pass_whole(
         self,
         call: Call,
-        attempt: Attempt,
+        attempt: EndpointAnswer,
         progress: Progress,
     ) -> None:
         """Hand on an answer that is no stream, unless a stream has begun."""
-        body = await attempt.whole_body()
+        body = await attempt.read_body()
         if progress.started:
             raise StreamCut(f"engine said {attempt.facts.status}")
         call.notes["status"] = attempt.facts.status
@@ -182,8 +187,8 @@
     async def _pass_events(
         self,
         call: Call,
-        attempt: Attempt,
-        place: HeldPlace | None,
+        attempt: EndpointAnswer,
+        place: GrantedPlace | None,
         progress: Progress,
     ) -> None:
         first = True
@@ -193,11 +198,11 @@
                 if not events:
                     continue
                 if first and place is not None:
-                    self._engines.started(place)
+                    self._engines.notify_started(place)
                 first = False
                 pause_s = progress.pauses.on_events(len(events), self._now())
                 if place is not None and self._is_first_long(call, progress, pause_s):
-                    self._engines.paused(place, pause_s)
+                    self._engines.notify_paused(place, pause_s)
                 self._start(call, attempt, progress)
                 await call.responder.write(b"".join(event.data for event in events))
         except (AnswerBroken, EventsBroken) as error:
@@ -211,12 +216,12 @@
     def _is_first_long(self, call: Call, progress: Progress, pause_s: float) -> bool:
         """Tell whether the stream has just become late by a pause."""
         allowed_s = call.route.gap_s
-        if allowed_s is None or pause_s <= allowed_s or progress.held_up:
+        if allowed_s is None or pause_s <= allowed_s or progress.stalled:
             return False
-        progress.held_up = True
+        progress.stalled = True
         return True
 
-    def _start(self, call: Call, attempt: Attempt, progress: Progress) -> None:
+    def _start(self, call: Call, attempt: EndpointAnswer, progress: Progress) -> None:
         """Send the head with the first event: until then another engine may answer."""
         if progress.started:
             return
--- a/bamboovale/gateway/ownership.py
+++ b/bamboovale/gateway/ownership.py
@@ -75,34 +75,34 @@
         self._own_number = int.from_bytes(digest, "big") % VMS_PER_STEP
         self._held_until = 0.0
         self._held_since: dict[int, float] = {}
-        self._stand_in_token: dict[str, int] = {}
+        self._takeover_token: dict[str, int] = {}
         self._bumped_token: dict[str, int] = {}
         self._unreachable_since: float | None = None
         self._joined = False
         self._leaving = False
-        self._stepped_back = False
+        self._suspended = False
 
     def holds(self, engine_id: str) -> bool:
         """Tell whether we own an engine, whatever the lease's age."""
-        if engine_id in self._stand_in_token:
+        if engine_id in self._takeover_token:
             return True
         return partition_of(engine_id, self._partitions) in self._held_since
 
     def fence(self, engine_id: str) -> int:
         """Return the fencing number of our orders to an engine."""
-        stand_in = self._stand_in_token.get(engine_id)
-        if stand_in is not None:
-            return stand_in
+        takeover = self._takeover_token.get(engine_id)
+        if takeover is not None:
+            return takeover
         granted = self.generation * TOKENS_PER_GENERATION
         return max(granted, self._bumped_token.get(engine_id, 0))
 
-    def away_s(self) -> float:
+    def store_unreachable_s(self) -> float:
         """Return for how long the store has not answered us."""
         if self._unreachable_since is None:
             return 0.0
         return self._clock() - self._unreachable_since
 
-    def stand_in(self, engine_id: str, above: int) -> None:
+    def take_over(self, engine_id: str, above: int) -> None:
         """Own an engine that nobody owns while the store cannot say who should.
 
         Only where engines refuse an older fencing number: the token is higher than the
@@ -110,13 +110,13 @@
         that the engine obeys one of them. It ends when the store answers again.
         """
         if self._fenced and not self._leaving:
-            self._stand_in_token[engine_id] = self._next_token(above)
+            self._takeover_token[engine_id] = self._next_token(above)
             self._journal.write(
                 "stand_in",
                 engine=engine_id,
-                token=self._stand_in_token[engine_id],
+                token=self._takeover_token[engine_id],
                 above=above,
-                store_away_s=round(self.away_s(), 2),
+                store_away_s=round(self.store_unreachable_s(), 2),
             )
 
     def on_fenced(self, engine_id: str, above: int) -> None:
@@ -125,8 +125,8 @@
         The rightful owner, confirmed by the store, goes on with a higher one; anybody
         else stops.
         """
-        if engine_id in self._stand_in_token:
-            del self._stand_in_token[engine_id]
+        if engine_id in self._takeover_token:
+            del self._takeover_token[engine_id]
             self._on_change()
         elif self.reachable and self.holds(engine_id):
             used = max(above, self.fence(engine_id))
@@ -147,7 +147,7 @@
         """
         if self._leaving:
             return False
-        if engine_id in self._stand_in_token:
+        if engine_id in self._takeover_token:
             return not self.reachable
         since = self._held_since.get(partition_of(engine_id, self._partitions))
         if since is None:
@@ -159,10 +159,10 @@
             return True
         return self._fenced and not self.reachable
 
-    async def keep(self) -> None:
+    async def renew_forever(self) -> None:
         """Renew for ever, unless others of a large fleet own the engines."""
         while True:
-            if self._stepped_back:
+            if self._suspended:
                 await asyncio.sleep(RETRY_S)
                 continue
             if not self._held_since and not self._may_own():
@@ -190,17 +190,17 @@
         except StoreError as error:
             self._journal.write("ownership_leave_failed", error=str(error))
 
-    async def step_back(self, back: bool) -> None:
+    async def set_suspended(self, suspended: bool) -> None:
         """Give up all engines while most other VMs do not hear us, or take part again.
 
         Guards against an owner that is cut off from its peers but not from the store:
         it would keep its engines and nobody could ask it for a place.
         """
-        if back == self._stepped_back:
+        if suspended == self._suspended:
             return
-        self._stepped_back = back
-        self._journal.write("ownership_step_back", back=back)
-        if back:
+        self._suspended = suspended
+        self._journal.write("ownership_step_back", back=suspended)
+        if suspended:
             self._held_since.clear()
             self._on_change()
             try:
@@ -241,7 +241,7 @@
             self._journal.write("ownership_store_regained", waited=self.generation)
         self.reachable = True
         self._unreachable_since = None
-        if self._leaving or self._stepped_back:
+        if self._leaving or self._suspended:
             return
         self._held_until = asked_at + TTL_S - MARGIN_S
         self._take(membership)
@@ -250,8 +250,8 @@
         now = self._clock()
         numbers = {partition.number for partition in membership.partitions}
         # A partition may come without a new generation, once its last owner let go.
-        moved = numbers != self._held_since.keys() or bool(self._stand_in_token)
-        self._stand_in_token.clear()
+        moved = numbers != self._held_since.keys() or bool(self._takeover_token)
+        self._takeover_token.clear()
         changed = moved or membership.generation != self.generation
         if moved:
             self._journal.write(
--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -10,7 +10,6 @@
 from bamboovale.fleet.messages import Gossip, SuspectSeen
 from bamboovale.gateway.crashes import CrashGuard
 from bamboovale.gateway.engine_assignment import EngineAssignment
-from bamboovale.gateway.engine_news import EngineNews
 from bamboovale.gateway.engine_owner import EngineOwner
 from bamboovale.gateway.engines import Engines
 from bamboovale.gateway.messages import (
@@ -23,13 +22,14 @@
     PlaceReply,
     PlaceRequest,
     PlaceStarted,
-    StatusesWanted,
+    StatusSubscription,
     TableAnswer,
     TableQuery,
 )
 from bamboovale.gateway.model import RoutingTable
 from bamboovale.gateway.ownership import Ownership
 from bamboovale.gateway.records import Records
+from bamboovale.gateway.status_exchange import EngineStatusExchange
 from bamboovale.gateway.translation import Translation
 from bamboovale.gateway.vm_state import VMState
 from bamboovale.peers.links import PeerLinks
@@ -91,7 +91,7 @@
         self._fences_told_at = -FENCES_S
         self._lateness = TimerLagMonitor()
         self._live: set[str] = set()
-        self.engine_news = EngineNews(state, engines, links)
+        self.status_exchange = EngineStatusExchange(state, engines, links)
         self.exchange = Exchange(
             state.fleet.membership,
             state.fleet.changes,
@@ -104,7 +104,7 @@
             cut_link=links.cut,
         )
 
-    def tell(self) -> None:
+    def announce(self) -> None:
         """Tell what has changed of us with the next message to each neighbour."""
         self.exchange.config_version = self._config_version()
         is_new = self._state.fleet.membership.tell(
@@ -129,13 +129,13 @@
         self._fences_told_at = now
         return owned
 
-    def tell_leaving(self) -> None:
+    def announce_leaving(self) -> None:
         """Tell the neighbours that this process ends now."""
         self._state.fleet.membership.tell(serving=False, left=True)
         self.exchange.hurry()
         self._send_due()
 
-    def tell_suspect(self, suspect: SuspectSeen) -> None:
+    def broadcast_suspect(self, suspect: SuspectSeen) -> None:
         """Tell every VM of a request that crashed its endpoint."""
         if self.exchange.note_suspect(suspect):
             self._news.set()
@@ -143,9 +143,9 @@
     def assign_engines(self) -> None:
         """Own what we should; tell everybody at once if that changed."""
         if self._assignment.assign():
-            self.tell()
-            self.engine_news.tell_statuses()
-            self._engines.tell_new_owners()
+            self.announce()
+            self.status_exchange.publish_statuses()
+            self._engines.notify_new_owners()
 
     def on_store_answer(self, *, settled: bool) -> None:
         """Note that the store has answered us, and whether it is settled."""
@@ -176,7 +176,7 @@
             if self._state.now() - began > START_WAIT_S:
                 break
             await asyncio.sleep(START_LOOK_S)
-        self.tell()
+        self.announce()
 
     def _note_lateness(self, late_s: float) -> None:
         if late_s > LAG_WARNING_S:
@@ -186,17 +186,17 @@
         for targets, gossip in self.exchange.due(self._state.now()):
             self._links.notify_all(targets, gossip)
 
-    async def look_forever(self) -> None:
+    async def poll_forever(self) -> None:
         """Act on what others have told, for ever."""
         while True:
             due_at = self._state.now() + LOOK_S
             await asyncio.sleep(LOOK_S)
             now = self._state.now()
             self._lateness.on_timer(now - due_at, now)
-            self.tell()
+            self.announce()
             self._note_live()
             store_age_s = self._state.now() - self.exchange.store_answered_at
-            if self._assignment.stand_in_for_lost_owners(
+            if self._assignment.take_over_lost_engines(
                 store_answers_others=store_age_s <= STORE_LOST_S
             ):
                 self.assign_engines()
@@ -212,8 +212,8 @@
         self._seen_version = self._state.fleet.version
         before = self._live
         self._live = live = {member.vm_id for member in self._state.fleet.live()}
-        self._engines.tell_new_owners()
-        self.engine_news.ask_owners()
+        self._engines.notify_new_owners()
+        self.status_exchange.subscribe_to_owners()
         if live == before:
             return
         self._state.journal.write(
@@ -228,7 +228,7 @@
         )
         for vm_id in before - live:
             for owner in list(self._engines.owner_by_engine.values()):
-                owner.entry_gone(vm_id)
+                owner.on_entry_gone(vm_id)
         for share in self._state.share_by_service.values():
             share.fleet_size = len(live) + 1
 
@@ -252,7 +252,7 @@
         if isinstance(answer, TableAnswer) and answer.source is not None:
             table = self._translation.decode_table(answer.source)
             if isinstance(table, RoutingTable):
-                self._records.take_table(table, origin="peer")
+                self._records.apply_table(table, origin="peer")
 
     def on_request(self, sender: str, message: Any, reply: Any) -> None:
         """Answer a peer's request."""
@@ -261,8 +261,8 @@
             if owner is None:
                 reply(PlaceReply(message.ask_id, reason="no owner", not_owner=True))
             else:
-                self.engine_news.on_wanted(sender)
-                owner.ask(sender, message, reply)
+                self.status_exchange.on_subscribe(sender)
+                owner.request_place(sender, message, reply)
         elif isinstance(message, TableQuery):
             reply(TableAnswer(self._state.table.source if self._state.table else None))
         else:
@@ -283,8 +283,8 @@
             self._state.fleet.on_statuses(sender, message.statuses, now)
         elif isinstance(message, EngineLoads):
             self._state.fleet.on_loads(sender, message.loads, now)
-        elif isinstance(message, StatusesWanted):
-            self.engine_news.on_wanted(sender)
+        elif isinstance(message, StatusSubscription):
+            self.status_exchange.on_subscribe(sender)
         elif isinstance(message, PLACE_NOTICES):
             owner = self._engines.owner_by_engine.get(message.engine_id)
             if owner is not None:
@@ -302,8 +302,8 @@
     elif isinstance(message, PlaceRelease):
         owner.release(message)
     elif isinstance(message, PlaceHeld):
-        owner.held(sender, message)
+        owner.on_held(sender, message)
     elif isinstance(message, PlaceStarted):
-        owner.started(message.ask_id)
+        owner.on_started(message.ask_id)
     else:
-        owner.paused(message.ask_id, message.pause_s)
+        owner.on_paused(message.ask_id, message.pause_s)
--- a/bamboovale/gateway/place_search.py
+++ b/bamboovale/gateway/place_search.py
@@ -8,7 +8,7 @@
 from bamboovale.decisions.mechanisms import ALL_ON, Mechanisms
 from bamboovale.gateway.call import Call
 from bamboovale.gateway.endpoints import EndpointView
-from bamboovale.gateway.engines import Engines, HeldPlace, OwnerSilent
+from bamboovale.gateway.engines import Engines, GrantedPlace, OwnerUnavailable
 from bamboovale.gateway.messages import PlaceRequest
 from bamboovale.gateway.model import EndpointRecord, ModelWork
 from bamboovale.gateway.stream_progress import Progress
@@ -65,7 +65,7 @@
         call: Call,
         work: ModelWork,
         progress: Progress,
-    ) -> tuple[EndpointRecord, HeldPlace | None]:
+    ) -> tuple[EndpointRecord, GrantedPlace | None]:
         """Return an engine that holds the adapter; None as place: without its owner."""
         version = self._version_of(work.model, work.adapter)
         silent: set[str] = set()
@@ -93,7 +93,7 @@
                 return record, place
             except EngineFull as error:
                 full[chosen] = error
-            except OwnerSilent as error:
+            except OwnerUnavailable as error:
                 call.notes.setdefault("silent_owners", []).append(
                     {"engine": chosen, "error": str(error)}
                 )
@@ -146,7 +146,7 @@
         views: dict,
         version: int,
         progress: Progress,
-    ) -> tuple[EndpointRecord, HeldPlace | None]:
+    ) -> tuple[EndpointRecord, GrantedPlace | None]:
         """Go straight to an engine that held the adapter when last heard of."""
         key = None if work.adapter is None else (work.model, work.adapter)
         holders = [
@@ -158,7 +158,7 @@
         ]
         if not holders:
             call.notes["engines"] = len(views)
-            raise progress.given_up("no engine can load it now", NO_ENGINE_RETRY_S)
+            raise progress.final_error("no engine can load it now", NO_ENGINE_RETRY_S)
         chosen = min(holders, key=lambda name: views[name].run_cost_s())
         return self._endpoints.record_by_id[chosen], None
 
@@ -169,7 +169,7 @@
         view: EngineCandidate,
         version: int,
         progress: Progress,
-    ) -> HeldPlace:
+    ) -> GrantedPlace:
         engine_id = view.engine_id
         now = self._now()
         ask_id = f"{call.facts.request_id}.{len(call.notes.get('asks', []))}"
@@ -191,7 +191,7 @@
         note: dict[str, Any] = {"engine": engine_id, "owner": owner}
         call.notes.setdefault("asks", []).append(note)
         try:
-            reply = await self._engines.ask(engine_id, request)
+            reply = await self._engines.request_place(engine_id, request)
         finally:
             note["s"] = round(self._now() - now, 4)
         if reply.version is None:
@@ -204,14 +204,14 @@
         if reply.paced_s:
             note["paced_s"] = reply.paced_s
         assert owner is not None
-        place = HeldPlace(
+        place = GrantedPlace(
             engine_id,
             ask_id,
             owner,
             reply.version,
             reply.confirmed,
         )
-        self._engines.hold(place, request)
+        self._engines.track_run(place, request)
         return place
 
     def _starts_within_s(self, call: Call, progress: Progress, now: float) -> float:
@@ -232,4 +232,4 @@
 def _no_place(progress: Progress, full: dict[str, EngineFull]) -> Exception:
     """Return the refusal; its caller comes back when the first has a place."""
     first = min(full.values(), key=lambda refusal: refusal.retry_after_s)
-    return progress.given_up(f"no place: {first}", first.retry_after_s)
+    return progress.final_error(f"no place: {first}", first.retry_after_s)
--- a/bamboovale/gateway/front.py
+++ b/bamboovale/gateway/request_handler.py
@@ -23,7 +23,7 @@
 """For a caller that names no deadline; the route's own time-out is shorter."""
 
 
-class Front:
+class RequestHandler:
     """Handles one request at a time for each connection."""
 
     def __init__(
@@ -89,7 +89,7 @@
             route=route,
             service=self._pick_service(route),
             responder=responder,
-            give_up_at=request.received_at + wait_s,
+            deadline=request.received_at + wait_s,
         )
         outcome = "left"
         try:
@@ -100,7 +100,7 @@
     async def _run(self, call: Call, table: RoutingTable) -> str:
         """Run the call to its final answer; return the outcome for log and counter."""
         try:
-            async with asyncio.timeout_at(call.give_up_at):
+            async with asyncio.timeout_at(call.deadline):
                 await self._dispatch(call, table)
             return "answered"
         except TimeoutError:
@@ -117,17 +117,17 @@
         service = table.service_by_name.get(call.service)
         work = call.facts.work
         print_of = fingerprint(call.facts.host, call.request.target, call.request.body)
-        if self._crashes.refuses(print_of):
+        if self._crashes.is_blocked(print_of):
             raise CallRefused("it crashed endpoints before", SUSPECT_RETRY_S)
         if service is None or service.engines is None or work is None:
-            with self._crashes.watching(print_of, call):
+            with self._crashes.track(print_of, call):
                 await self._plain_calls.run(call)
             return
         if work.model not in service.engines.model_by_name:
             self._answer(call.responder, 404, None, call.facts.request_id)
             call.notes["reason"] = "unknown model"
             return
-        with self._crashes.watching(print_of, call):
+        with self._crashes.track(print_of, call):
             await self._model_calls.run(call, work)
 
     def _pick_service(self, route: Route) -> str:
@@ -203,7 +203,7 @@
             tokens=[work.prompt_tokens, work.output_tokens] if work else None,
             goal_s=call.route.goal_s,
             pause_allowed_s=call.route.gap_s,
-            wait_s=round(call.give_up_at - call.request.received_at, 3),
+            wait_s=round(call.deadline - call.request.received_at, 3),
             total_s=round(total_s, 4),
             config=table.version,
             **call.notes,
--- a/bamboovale/gateway/state_dump.py
+++ b/bamboovale/gateway/state_dump.py
@@ -36,7 +36,7 @@
         },
         "named": {
             domain: [member.vm_id for member in members]
-            for domain, members in state.fleet.named_by_domain().items()
+            for domain, members in state.fleet.advertised_by_domain().items()
         },
         "store_answered_s_ago": finite_age_s(now - exchange.store_answered_at),
         "store_settled": state.store_watch.is_settled(),
@@ -69,12 +69,12 @@
             endpoint_id: {"service": record.service, "ready": record.ready}
             for endpoint_id, record in record_by_id.items()
         },
-        "lapsed_endpoints": sorted(state.endpoints.lapsed_ids()),
+        "lapsed_endpoints": sorted(state.endpoints.expired_ids()),
         "owner_by_engine": {
             engine_id: engines.owner_name(engine_id) for engine_id in record_by_id
         },
         "status_s_ago": {
-            engine_id: round(state.now() - owned.heard_at, 2)
+            engine_id: round(state.now() - owned.last_seen, 2)
             for engine_id in record_by_id
             if (owned := state.fleet.engine(engine_id)) is not None
             and owned.status is not None
--- a/bamboovale/gateway/engine_news.py
+++ b/bamboovale/gateway/status_exchange.py
@@ -4,7 +4,7 @@
 
 from bamboovale.fleet.subscriptions import Interest, Subscriptions
 from bamboovale.gateway.engines import Engines, Links
-from bamboovale.gateway.messages import EngineLoads, EngineStatuses, StatusesWanted
+from bamboovale.gateway.messages import EngineLoads, EngineStatuses, StatusSubscription
 from bamboovale.gateway.vm_state import VMState
 
 INTEREST_LOOK_S = 0.5
@@ -13,7 +13,7 @@
 """Between two looks whether we own engines by now; others hear of it meanwhile."""
 
 
-class EngineNews:
+class EngineStatusExchange:
     """Both sides of one VM: what it tells of its engines, and whom it asks."""
 
     def __init__(self, state: VMState, engines: Engines, links: Links) -> None:
@@ -22,17 +22,17 @@
         self._links = links
         self._subscriptions = Subscriptions()
         self._interest = Interest()
-        engines.on_needed = self.on_needed
+        engines.on_engine_needed = self.on_engine_needed
 
     # As an owner.
 
-    def on_wanted(self, sender: str) -> None:
+    def on_subscribe(self, sender: str) -> None:
         """Tell a VM of our engines from now on; at once if it did not ask before."""
         is_new = self._subscriptions.renew(sender, self._state.now())
         if is_new and self._engines.owner_by_engine:
             self._links.notify(sender, self._statuses())
 
-    def tell_statuses(self) -> None:
+    def publish_statuses(self) -> None:
         """Tell everybody that asked of all our engines."""
         now = self._state.now()
         statuses = self._statuses()
@@ -40,14 +40,14 @@
         if statuses.statuses:
             self._links.notify_all(self._subscriptions.current(now), statuses)
 
-    async def tell_statuses_forever(self) -> None:
+    async def publish_statuses_forever(self) -> None:
         """Tell at intervals, while there is something to tell."""
         while True:
             await asyncio.sleep(self._subscriptions.status_interval_s())
             if self._engines.owner_by_engine:
-                self.tell_statuses()
+                self.publish_statuses()
 
-    async def tell_loads_forever(self) -> None:
+    async def publish_loads_forever(self) -> None:
         """Tell how busy our engines are, between two statuses, where that changed."""
         told: EngineLoads | None = None
         while True:
@@ -69,12 +69,12 @@
 
     # As a VM that chooses.
 
-    def on_needed(self) -> None:
+    def on_engine_needed(self) -> None:
         """Note that a request needs an engine; ask at once after a time without."""
         if self._interest.note_request(self._state.now()):
-            self.ask_owners()
+            self.subscribe_to_owners()
 
-    def ask_owners(self) -> None:
+    def subscribe_to_owners(self) -> None:
         """Ask the owners that were not asked of late, if we choose engines.
 
         Owners choose none, but pace prompts by the word of the other owners.
@@ -86,10 +86,10 @@
         others = self._state.fleet.owner_ids() - {self._state.node.name}
         due = self._interest.to_ask(others, now)
         if due:
-            self._links.notify_all(due, StatusesWanted())
+            self._links.notify_all(due, StatusSubscription())
 
-    async def ask_forever(self) -> None:
+    async def subscribe_forever(self) -> None:
         """Go on asking while requests come."""
         while True:
             await asyncio.sleep(INTEREST_LOOK_S)
-            self.ask_owners()
+            self.subscribe_to_owners()
--- a/bamboovale/gateway/vm.py
+++ b/bamboovale/gateway/vm.py
@@ -7,28 +7,28 @@
 from typing import Any
 
 from bamboovale.decisions.mechanisms import ALL_ON, Mechanisms
-from bamboovale.gateway.attempts import Attempts
 from bamboovale.gateway.crashes import CrashGuard
+from bamboovale.gateway.endpoint_client import EndpointClient
 from bamboovale.gateway.endpoints import EndpointChange
 from bamboovale.gateway.engine_assignment import EngineAssignment
-from bamboovale.gateway.engine_orders import EngineCalls
+from bamboovale.gateway.engine_client import EngineClient
 from bamboovale.gateway.engines import Engines
-from bamboovale.gateway.front import Front
 from bamboovale.gateway.isolation import Isolation
 from bamboovale.gateway.journal import Journal
+from bamboovale.gateway.lost_reads import LostReadDetector
 from bamboovale.gateway.model_calls import ModelCalls
 from bamboovale.gateway.owner_context import OwnerContext
 from bamboovale.gateway.ownership import Ownership, lease_clock
 from bamboovale.gateway.peering import Peering
 from bamboovale.gateway.plain_calls import PlainCalls
-from bamboovale.gateway.pool_notes import PoolNotes
 from bamboovale.gateway.ports import Ports
 from bamboovale.gateway.records import Records
 from bamboovale.gateway.registration import Registration
+from bamboovale.gateway.request_handler import RequestHandler
 from bamboovale.gateway.settings_watch import ReadSettings, SettingsWatch
+from bamboovale.gateway.stall_records import StallRecords
 from bamboovale.gateway.state_dump import dump_engines, dump_fleet, dump_reads
 from bamboovale.gateway.store import StoreError
-from bamboovale.gateway.store_contact import StoreContact
 from bamboovale.gateway.translation import Translation
 from bamboovale.gateway.vm_state import VMState
 from bamboovale.http1.pool import ConnectionPool, sweep_forever
@@ -99,7 +99,7 @@
         self._endpoint_pool = pool("endpoint")
         self._control_pool = pool("control")
         self._store_pool = pool("store")
-        self._store = StoreContact(
+        self._store = LostReadDetector(
             self._translation.store(
                 self._store_pool,
                 lambda name: self._metrics.gateway_store_calls.labels(name).inc(),
@@ -133,7 +133,7 @@
         )
         calls = self._metrics.gateway_engine_calls
         self._owner_context = OwnerContext(
-            calls=EngineCalls(
+            calls=EngineClient(
                 self._control_pool,
                 self._translation,
                 node.name,
@@ -144,8 +144,8 @@
             may_order=self._ownership.may_order,
             fence=self._ownership.fence,
             on_fenced=lambda record, token: self._assignment.on_fenced(record, token),
-            on_start_seen=self.state.endpoints.on_start_seen,
-            pool_held_up=lambda service: self._assignment.pool_held_up(service),
+            on_restart=self.state.endpoints.on_restart,
+            pool_stalled=lambda service: self._assignment.pool_stalled(service),
             hold_off_s=lambda: HOLD_OFF_S + self.peering.exchange.spread_s(),
             mechanisms=self._mechanisms,
         )
@@ -154,22 +154,22 @@
         self._crashes = CrashGuard(
             self.state.journal,
             self.state.now,
-            lambda suspect: self.peering.tell_suspect(suspect),
+            lambda suspect: self.peering.broadcast_suspect(suspect),
         )
         self._front = self._build_front()
-        self._notes = PoolNotes(
+        self._stall_records = StallRecords(
             self.state.node.name,
             self._translation.registration_topic,
             self._store,
             self.state.journal,
-            on_note=lambda service: self._assignment.on_note(service),
+            on_read=lambda service: self._assignment.on_stall_record(service),
         )
         self._assignment = EngineAssignment(
             self.state,
             self._engines,
             self._ownership,
             self._owner_context,
-            self._notes,
+            self._stall_records,
         )
         self.records = Records(
             self.state,
@@ -196,7 +196,7 @@
             self.state,
             self._translation.registration_topic,
             self._store,
-            self._notes,
+            self._stall_records,
             on_contact=self.peering.wake,
         )
         self._isolation = Isolation(
@@ -204,15 +204,15 @@
             self.peering.exchange,
             self._ownership,
             self._store,
-            self.peering.tell,
+            self.peering.announce,
         )
 
-    def _build_front(self) -> Front:
-        attempts = Attempts(self._endpoint_pool, self._translation)
-        return Front(
+    def _build_front(self) -> RequestHandler:
+        client = EndpointClient(self._endpoint_pool, self._translation)
+        return RequestHandler(
             codec=self._translation,
             plain_calls=PlainCalls(
-                attempts,
+                client,
                 self._translation,
                 self.state.endpoints,
                 self.state.share_of,
@@ -220,7 +220,7 @@
                 self._rng,
             ),
             model_calls=ModelCalls(
-                attempts,
+                client,
                 self._translation,
                 self.state.endpoints,
                 self._engines,
@@ -253,7 +253,7 @@
             self._spawn(job)
         await self._stop_event.wait()
         await self._drain()
-        self.peering.tell_leaving()
+        self.peering.announce_leaving()
         await asyncio.sleep(0)
         await self.close()
         self.state.journal.write("stopped")
@@ -281,17 +281,17 @@
         return [
             self.records.operator.follow(),
             self.records.endpoints.follow(),
-            self.state.endpoints.watch_lapsed(),
+            self.state.endpoints.watch_expired(),
             self.settings_watch.watch(),
             self._own_engines(),
             self._registration.keep(),
             self.peering.exchange_forever(),
-            self.peering.look_forever(),
-            self.peering.engine_news.tell_statuses_forever(),
-            self.peering.engine_news.tell_loads_forever(),
-            self.peering.engine_news.ask_forever(),
+            self.peering.poll_forever(),
+            self.peering.status_exchange.publish_statuses_forever(),
+            self.peering.status_exchange.publish_loads_forever(),
+            self.peering.status_exchange.subscribe_forever(),
             self._isolation.watch(),
-            self._assignment.write_notes_forever(),
+            self._assignment.write_stall_records_forever(),
             sweep_forever(self._endpoint_pool),
             sweep_forever(self._control_pool),
         ]
@@ -300,16 +300,16 @@
         """Begin the planned stop."""
         self._stop_event.set()
 
-    async def look_at_engines(self) -> None:
+    async def poll_engines(self) -> None:
         """Read the reports of all owned engines now."""
         for owner in list(self._engines.owner_by_engine.values()):
-            await owner.look()
+            await owner.poll()
 
     def reload(self) -> None:
         """Look at the settings file now."""
         version = self.state.table.version if self.state.table is not None else None
         self.state.journal.write("reload", config=version)
-        self.settings_watch.look()
+        self.settings_watch.poll()
 
     def _on_settings(self, before: Any, after: Any) -> None:
         """Use changed settings; what is under way keeps what it began with."""
@@ -324,7 +324,7 @@
         self.state.stopping = True
         began = self.state.now()
         self.state.journal.write("stopping", busy=self._callers.busy)
-        self.peering.tell()
+        self.peering.announce()
         with contextlib.suppress(StoreError, TimeoutError):
             async with asyncio.timeout(1.0):
                 await self._ownership.leave()
@@ -375,11 +375,11 @@
         deadline = self.state.now() + FLEET_WAIT_S
         while not self.state.knows_fleet and self.state.now() < deadline:
             await asyncio.sleep(FLEET_LOOK_S)
-        await self._ownership.keep()
+        await self._ownership.renew_forever()
 
     def _on_table(self) -> None:
         self.peering.assign_engines()
-        self.peering.tell()
+        self.peering.announce()
 
     def _may_own_engines(self) -> bool:
         return self.state.node.name in self.state.fleet.owner_candidates()
--- a/tests/owner_play.py
+++ b/tests/owner_play.py
@@ -15,7 +15,7 @@
 
 from bamboovale.decisions.mechanisms import ALL_ON
 from bamboovale.decisions.place_work import AdapterKey, EngineCapacity
-from bamboovale.gateway.engine_orders import EngineCallFailed
+from bamboovale.gateway.engine_client import EngineCallFailed
 from bamboovale.gateway.engine_owner import EngineOwner
 from bamboovale.gateway.messages import (
     PlaceHeld,
@@ -270,9 +270,9 @@
             may_order=lambda engine_id: loop.time() >= self._no_leave_until,
             fence=lambda engine_id: self._fence,
             on_fenced=lambda record, token: None,
-            on_start_seen=lambda record, born_ms: None,
+            on_restart=lambda record, started_ms: None,
             hold_off_s=lambda: 0.3,
-            pool_held_up=lambda service: False,
+            pool_stalled=lambda service: False,
             mechanisms=ALL_ON,
         )
         self._owner = EngineOwner(self._record, self._capacity, context)
@@ -289,7 +289,7 @@
 
     def _tell_held(self, held: PlaceHeld) -> None:
         if held.ask_id in self._held_by_ask:
-            self._owner.held("vm", held)
+            self._owner.on_held("vm", held)
 
     def _name_version(self) -> None:
         name = self._adapter()
@@ -306,7 +306,7 @@
         version = self.engine.newest.get((BASE, name), 1)
         request = PlaceRequest("e", ask_id, BASE, name, version, 100, 20, 0, 0.8, 3.0)
         answer: asyncio.Future[PlaceReply] = asyncio.get_running_loop().create_future()
-        self._owner.ask("vm", request, lambda reply: _set(answer, reply))
+        self._owner.request_place("vm", request, lambda reply: _set(answer, reply))
         reply = await answer
         if reply.version is None:
             return
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -320,7 +320,7 @@
         async def test() -> None:
             async with running_site() as site:
                 site.runners[0].lose_model()
-                await site.vms[0].vm.look_at_engines()
+                await site.vms[0].vm.poll_engines()
                 answer = await call(site.vms[0].address, "/chat/1", adapter="a1")
                 assert answer.status == 200
 
@@ -414,8 +414,8 @@
                 runner.hold("a1")
                 owner = site.owned()["runner-0"]
                 other = next(item for item in site.vms if item is not owner)
-                other.vm.peering.engine_news.on_needed()
-                await owner.vm.look_at_engines()
+                other.vm.peering.status_exchange.on_engine_needed()
+                await owner.vm.poll_engines()
                 await site.store.put(
                     "keyed.op",
                     f"version/{MODEL}.a1",
@@ -528,7 +528,7 @@
                 decoded = first.vm._translation.decode_table(
                     __import__("json").dumps(newer).encode()
                 )
-                first.vm.records.take_table(decoded, origin="test")
+                first.vm.records.apply_table(decoded, origin="test")
                 assert table.version == 1
                 await eventually(lambda: second.vm.state.table.version == 9)
 
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -212,9 +212,9 @@
     def test_the_start_of_an_endpoint_is_read(self) -> None:
         record = {**ENDPOINT_RECORD, "born": 1_760_000_000_123}
         decoded = decode_endpoint("e", json.dumps(record).encode())
-        assert decoded.born_ms == 1_760_000_000_123
+        assert decoded.started_ms == 1_760_000_000_123
         assert decoded.endpoint_id != decode_endpoint("e", _json(ENDPOINT_RECORD))
-        assert decode_report(b'{"born": 17, "models": []}').born_ms == 17
+        assert decode_report(b'{"born": 17, "models": []}').started_ms == 17
 
     def test_a_split_route_keeps_its_weights(self) -> None:
         document = configuration()
@@ -299,7 +299,7 @@
         assert fleet.engine("e") is not None
         fleet.membership.take(member("a", 2), 1.1)
         owned = fleet.engine("e")
-        assert owned is not None and owned.given_up
+        assert owned is not None and owned.released
         fleet.membership.take(member("b", 1, ("e", 4)), 1.2)
         owned = fleet.engine("e")
         assert owned is not None and owned.owner == "b"
@@ -313,7 +313,7 @@
         fleet.on_statuses("a", [status("e", 4)], 1.0)
         fleet.membership.take(member("b", 2), 1.1)
         owned = fleet.engine("e")
-        assert owned is not None and not owned.given_up and owned.owner == "a"
+        assert owned is not None and not owned.released and owned.owner == "a"
 
     def test_a_new_owner_goes_on_from_the_last_ones_word(self) -> None:
         """An owner stops; who asks its successor first knows what is loaded."""
@@ -340,7 +340,7 @@
         fleet.on_statuses("a", [status("e", 5)], 1.0)
         fleet.on_loads("a", (EngineLoad("e", 7, 3, 0.5, -2),), 1.1)
         owned = fleet.engine("e")
-        assert owned is not None and owned.heard_at == 1.1
+        assert owned is not None and owned.last_seen == 1.1
         assert owned.status is not None
         assert (owned.status.active, owned.status.open_slots) == (7, -2)
         assert owned.fence == 5
@@ -508,7 +508,7 @@
         tokens = set()
         for name in ("a", "b"):
             held = ownership(FakeStore(), clock, name=name)
-            held.stand_in("e", above=4 << 24)
+            held.take_over("e", above=4 << 24)
             tokens.add(held.fence("e"))
         assert len(tokens) == 2
         assert min(tokens) > 4 << 24
@@ -518,7 +518,7 @@
             clock = [0.0]
             store = FakeStore()
             held = ownership(store, clock)
-            held.stand_in("e", above=0)
+            held.take_over("e", above=0)
             assert held.may_order("e")
             store.answer = Membership(5, ())
             await held._renew()
@@ -552,7 +552,7 @@
             store.answer = Membership(4, ())
             may_own = [True]
             held = ownership(store, [0.0], may_own=lambda: may_own[0])
-            task = asyncio.get_running_loop().create_task(held.keep())
+            task = asyncio.get_running_loop().create_task(held.renew_forever())
             await asyncio.sleep(0.05)
             may_own[0] = False
             await asyncio.sleep(1.0)
@@ -695,8 +695,8 @@
 class TestStartsUnderOneId:
     """An endpoint that starts again under the id that it had."""
 
-    OLD = EndpointRecord("e", "llm", ("10.0.0.1", 1), "a", True, 8, born_ms=1000)
-    NEW = EndpointRecord("e", "llm", ("10.0.0.2", 1), "a", True, 8, born_ms=2000)
+    OLD = EndpointRecord("e", "llm", ("10.0.0.1", 1), "a", True, 8, started_ms=1000)
+    NEW = EndpointRecord("e", "llm", ("10.0.0.2", 1), "a", True, 8, started_ms=2000)
 
     def test_the_start_before_is_gone_with_all_that_was_kept_of_it(self) -> None:
         """An engine crashes and registers again before its old record lapses.
@@ -717,7 +717,7 @@
         view, _ = _view()
         view.on_record("e", self.NEW)
         assert not view.on_record("e", self.OLD)
-        assert not view.on_record("e", replace(self.OLD, born_ms=None))
+        assert not view.on_record("e", replace(self.OLD, started_ms=None))
         assert view.ready("llm") == [self.NEW]
 
     def test_its_removal_takes_the_start_that_is_known(self) -> None:
@@ -731,9 +731,9 @@
         view, _ = _view()
         held = (LoadedModel("base", 1, {"a1": 1}),)
         view.on_record("e", replace(self.OLD, models=held))
-        view.on_start_seen(self.OLD, 1500)
+        view.on_restart(self.OLD, 1500)
         [record] = view.ready("llm")
-        assert (record.born_ms, record.models) == (1500, ())
+        assert (record.started_ms, record.models) == (1500, ())
         view.on_record("e", self.NEW)
         assert view.ready("llm") == [self.NEW]
 
