--- a/bamboovale/fleet/subscriptions.py
+++ b/bamboovale/fleet/subscriptions.py
@@ -49,7 +49,7 @@
         return max(LOADS_INTERVAL_S, len(self._asked_at) / LOADS_PER_S)
 
 
-class Interest:
+class Subscriber:
     """Which owners this VM asks to be told of their engines; no sockets, no clock."""
 
     def __init__(self) -> None:
--- a/bamboovale/gateway/engine_news.py
+++ b/bamboovale/gateway/engine_news.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from bamboovale.fleet.subscriptions import Interest, Subscriptions
+from bamboovale.fleet.subscriptions import Subscriber, Subscriptions
 from bamboovale.gateway.engines import Engines, Links
 from bamboovale.gateway.messages import EngineLoads, EngineStatuses, StatusesWanted
 from bamboovale.gateway.vm_state import VMState
@@ -21,7 +21,7 @@
         self._engines = engines
         self._links = links
         self._subscriptions = Subscriptions()
-        self._interest = Interest()
+        self._interest = Subscriber()
         engines.on_needed = self.on_needed
 
     # As an owner.
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -18,7 +18,7 @@
 from bamboovale.fleet.messages import Gossip, Member, SuspectSeen, Unheard
 from bamboovale.fleet.neighbours import BLOCK_S, INTERVAL_S, WORDS_BEFORE_BLOCK
 from bamboovale.fleet.rings import ALL_LINKED_UP_TO, RINGS, Rings
-from bamboovale.fleet.subscriptions import IDLE_S, LAPSE_S, Interest, Subscriptions
+from bamboovale.fleet.subscriptions import IDLE_S, LAPSE_S, Subscriber, Subscriptions
 from bamboovale.fleet.topic_changes import MOST_ROWS, TopicChanges
 from tests import fleet_play
 from tests.fleet_play import PlayedFleet, PlayedVM
@@ -531,7 +531,7 @@
         assert 1.0 < subscriptions.status_interval_s() < 2.0
 
     def test_a_vm_asks_while_it_chooses_engines(self) -> None:
-        interest = Interest()
+        interest = Subscriber()
         assert not interest.is_needed(100.0)
         assert interest.note_request(100.0)
         assert not interest.note_request(101.0)
