--- a/bamboovale/fleet/exchange.py
+++ b/bamboovale/fleet/exchange.py
@@ -78,7 +78,7 @@
     next_at: float = 0.0
 
 
-class Exchange:
+class GossipProtocol:
     """Messages to and from the neighbours of one VM; no sockets, no clock."""
 
     def __init__(
--- a/bamboovale/gateway/isolation.py
+++ b/bamboovale/gateway/isolation.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from bamboovale.fleet.exchange import Exchange
+from bamboovale.fleet.exchange import GossipProtocol
 from bamboovale.gateway.ownership import GROUP, Ownership
 from bamboovale.gateway.store import MetadataStore, StoreError
 from bamboovale.gateway.vm_state import VMState
@@ -21,7 +21,7 @@
     def __init__(
         self,
         state: VMState,
-        exchange: Exchange,
+        exchange: GossipProtocol,
         ownership: Ownership,
         store: MetadataStore,
         tell: Callable[[], None],
--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -6,7 +6,7 @@
 from typing import Any, get_args
 
 from bamboovale.decisions.lateness_watch import LatenessWatch
-from bamboovale.fleet.exchange import Exchange
+from bamboovale.fleet.exchange import GossipProtocol
 from bamboovale.fleet.messages import Gossip, SuspectSeen
 from bamboovale.gateway.crashes import CrashGuard
 from bamboovale.gateway.engine_assignment import EngineAssignment
@@ -92,7 +92,7 @@
         self._lateness = LatenessWatch()
         self._live: set[str] = set()
         self.engine_news = EngineNews(state, engines, links)
-        self.exchange = Exchange(
+        self.exchange = GossipProtocol(
             state.fleet.membership,
             state.fleet.changes,
             records.endpoints,
--- a/bamboovale/gateway/state_dump.py
+++ b/bamboovale/gateway/state_dump.py
@@ -3,14 +3,14 @@
 from collections.abc import Iterable
 from typing import Any
 
-from bamboovale.fleet.exchange import Exchange
+from bamboovale.fleet.exchange import GossipProtocol
 from bamboovale.gateway.engines import Engines
 from bamboovale.gateway.followers import TopicFollower
 from bamboovale.gateway.journal import finite_age_s
 from bamboovale.gateway.vm_state import VMState
 
 
-def dump_fleet(state: VMState, exchange: Exchange) -> dict[str, Any]:
+def dump_fleet(state: VMState, exchange: GossipProtocol) -> dict[str, Any]:
     """Return who we are, who lives, whom we watch and how old that is, in seconds."""
     now = state.now()
     membership = state.fleet.membership
--- a/tests/fleet_play.py
+++ b/tests/fleet_play.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from bamboovale.fleet.changes import ChangeLog
-from bamboovale.fleet.exchange import Exchange
+from bamboovale.fleet.exchange import GossipProtocol
 from bamboovale.fleet.membership import Change, Membership
 from bamboovale.fleet.messages import Gossip, Member, TopicRow
 from bamboovale.fleet.topic_changes import TopicChanges
@@ -46,7 +46,7 @@
 
     vm_id: str
     membership: Membership
-    exchange: Exchange
+    exchange: GossipProtocol
     topic: PlayedTopic
     frozen_until: float = 0.0
     dead: bool = False
@@ -86,7 +86,7 @@
         topic = PlayedTopic()
         topic.changes.begin(0)
         rng = random.Random(self.rng.random())
-        exchange = Exchange(membership, changes, topic, rng, self.now)
+        exchange = GossipProtocol(membership, changes, topic, rng, self.now)
         vm = PlayedVM(vm_id, membership, exchange, topic)
         self.vm_by_id[vm_id] = vm
         for contact in contacts:
