--- a/bamboovale/gateway/isolation.py
+++ b/bamboovale/gateway/isolation.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from bamboovale.fleet.exchange import GossipProtocol
+from bamboovale.fleet.gossip import GossipProtocol
 from bamboovale.gateway.ownership import GROUP, Ownership
 from bamboovale.gateway.store import MetadataStore, StoreError
 from bamboovale.gateway.vm_state import VMState
--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -6,7 +6,7 @@
 from typing import Any, get_args
 
 from bamboovale.decisions.lateness_watch import LatenessWatch
-from bamboovale.fleet.exchange import GossipProtocol
+from bamboovale.fleet.gossip import GossipProtocol
 from bamboovale.fleet.messages import Gossip, SuspectSeen
 from bamboovale.gateway.crashes import CrashGuard
 from bamboovale.gateway.engine_assignment import EngineAssignment
--- a/bamboovale/gateway/state_dump.py
+++ b/bamboovale/gateway/state_dump.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from bamboovale.fleet.exchange import GossipProtocol
+from bamboovale.fleet.gossip import GossipProtocol
 from bamboovale.gateway.engines import Engines
 from bamboovale.gateway.followers import TopicFollower
 from bamboovale.gateway.journal import finite_age_s
--- a/tests/fleet_play.py
+++ b/tests/fleet_play.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from bamboovale.fleet.changes import ChangeLog
-from bamboovale.fleet.exchange import GossipProtocol
+from bamboovale.fleet.gossip import GossipProtocol
 from bamboovale.fleet.membership import Change, Membership
 from bamboovale.fleet.messages import Gossip, Member, TopicRow
 from bamboovale.fleet.topic_changes import TopicChanges
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,7 +13,7 @@
 )
 
 from bamboovale.fleet.changes import ChangeLog
-from bamboovale.fleet.exchange import MOST_ITEMS, WATCH_RENEWAL_S
+from bamboovale.fleet.gossip import MOST_ITEMS, WATCH_RENEWAL_S
 from bamboovale.fleet.membership import FORGET_S, MOST_MEMBERS, Change, Membership
 from bamboovale.fleet.messages import Gossip, Member, SuspectSeen, Unheard
 from bamboovale.fleet.neighbours import BLOCK_S, INTERVAL_S, WORDS_BEFORE_BLOCK
