--- a/bamboovale/fleet/gossip.py
+++ b/bamboovale/fleet/gossip.py
@@ -17,7 +17,7 @@
 
 from bamboovale.fleet.changes import ChangeLog
 from bamboovale.fleet.membership import Change, Membership
-from bamboovale.fleet.messages import Gossip, Member, SuspectSeen, TopicRow, Unheard
+from bamboovale.fleet.messages import Gossip, Member, SuspectRequest, TopicRow, Unheard
 from bamboovale.fleet.neighbours import NEVER, SLACK_S, Neighbour, Neighbours
 from bamboovale.fleet.rings import ALL_LINKED_UP_TO
 from bamboovale.fleet.topic_changes import TopicChanges
@@ -88,7 +88,7 @@
         endpoints: Endpoints,
         rng: random.Random,
         now: float,
-        on_suspect: Callable[[SuspectSeen], None] = lambda suspect: None,
+        on_suspect: Callable[[SuspectRequest], None] = lambda suspect: None,
         on_store_answer: Callable[[], None] = lambda: None,
         on_settled: Callable[[], None] = lambda: None,
         cut_link: Callable[[str], None] = lambda vm_id: None,
@@ -107,7 +107,7 @@
         self._on_settled = on_settled
         self._probe_at = now + PROBE_S
         self._pulls = _Pulls()
-        self._suspects: dict[SuspectSeen, None] = {}
+        self._suspects: dict[SuspectRequest, None] = {}
 
     def _new_neighbour(self, now: float) -> Neighbour:
         offset = self._endpoints.changes.next_offset or 0
@@ -214,7 +214,7 @@
 
     # What we tell.
 
-    def note_suspect(self, suspect: SuspectSeen) -> bool:
+    def note_suspect(self, suspect: SuspectRequest) -> bool:
         """Pass on a request that crashed its endpoint; False if it is not new."""
         if suspect in self._suspects:
             return False
@@ -306,7 +306,7 @@
             wants_all=state.wants_all,
             members=tuple(item for item in items if isinstance(item, Member)),
             unheard=tuple(item for item in items if isinstance(item, Unheard)),
-            suspects=tuple(item for item in items if isinstance(item, SuspectSeen)),
+            suspects=tuple(item for item in items if isinstance(item, SuspectRequest)),
             rows=tuple(rows),
         )
 
--- a/bamboovale/fleet/membership.py
+++ b/bamboovale/fleet/membership.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from bamboovale.fleet.changes import ChangeLog
-from bamboovale.fleet.messages import Member, SuspectSeen, Unheard
+from bamboovale.fleet.messages import Member, SuspectRequest, Unheard
 from bamboovale.fleet.rings import Rings
 
 WORDS_NEEDED = 2
@@ -27,7 +27,7 @@
 MOST_MEMBERS = 4096
 """VMs known at once; bounds what a malformed or hostile message can add."""
 
-Change = Member | Unheard | SuspectSeen
+Change = Member | Unheard | SuspectRequest
 
 
 @dataclass
--- a/bamboovale/fleet/messages.py
+++ b/bamboovale/fleet/messages.py
@@ -51,7 +51,7 @@
 
 @row
 @dataclass(frozen=True)
-class SuspectSeen:
+class SuspectRequest:
     """A request that was running when its endpoint crashed."""
 
     fingerprint: str
@@ -84,6 +84,6 @@
     wants_all: bool = False
     members: tuple[Member, ...] = ()
     unheard: tuple[Unheard, ...] = ()
-    suspects: tuple[SuspectSeen, ...] = ()
+    suspects: tuple[SuspectRequest, ...] = ()
     rows: tuple[TopicRow, ...] = ()
     settled_count: int = 0
--- a/bamboovale/gateway/crashes.py
+++ b/bamboovale/gateway/crashes.py
@@ -4,7 +4,7 @@
 from contextlib import contextmanager
 
 from bamboovale.decisions.crash_counts import CrashCounts
-from bamboovale.fleet.messages import SuspectSeen
+from bamboovale.fleet.messages import SuspectRequest
 from bamboovale.gateway.call import Call, CallFailed
 from bamboovale.gateway.journal import Journal
 from bamboovale.gateway.stream_progress import StreamCut
@@ -17,7 +17,7 @@
         self,
         journal: Journal,
         now: Callable[[], float],
-        tell: Callable[[SuspectSeen], None],
+        tell: Callable[[SuspectRequest], None],
     ) -> None:
         self._journal = journal
         self._now = now
@@ -28,7 +28,7 @@
         """Tell whether this request has crashed too many endpoints."""
         return self._counts.refuses(fingerprint, self._now())
 
-    def on_notice(self, notice: SuspectSeen) -> None:
+    def on_notice(self, notice: SuspectRequest) -> None:
         """Take what another VM has seen."""
         self._counts.on_cut(notice.fingerprint, notice.endpoint_id, self._now())
 
@@ -54,7 +54,7 @@
                 continue
             endpoint_id = attempt["endpoint"]
             self._counts.on_cut(fingerprint, endpoint_id, self._now())
-            self._tell(SuspectSeen(fingerprint, endpoint_id))
+            self._tell(SuspectRequest(fingerprint, endpoint_id))
             self._journal.write(
                 "run_broke_off",
                 id=call.facts.request_id,
--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -7,7 +7,7 @@
 
 from bamboovale.decisions.lateness_watch import LatenessWatch
 from bamboovale.fleet.gossip import GossipProtocol
-from bamboovale.fleet.messages import Gossip, SuspectSeen
+from bamboovale.fleet.messages import Gossip, SuspectRequest
 from bamboovale.gateway.crashes import CrashGuard
 from bamboovale.gateway.engine_assignment import EngineAssignment
 from bamboovale.gateway.engine_news import EngineNews
@@ -135,7 +135,7 @@
         self.exchange.hurry()
         self._send_due()
 
-    def tell_suspect(self, suspect: SuspectSeen) -> None:
+    def tell_suspect(self, suspect: SuspectRequest) -> None:
         """Tell every VM of a request that crashed its endpoint."""
         if self.exchange.note_suspect(suspect):
             self._news.set()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,7 +15,7 @@
 from bamboovale.fleet.changes import ChangeLog
 from bamboovale.fleet.gossip import MOST_ITEMS, WATCH_RENEWAL_S
 from bamboovale.fleet.membership import FORGET_S, MOST_MEMBERS, Change, Membership
-from bamboovale.fleet.messages import Gossip, Member, SuspectSeen, Unheard
+from bamboovale.fleet.messages import Gossip, Member, SuspectRequest, Unheard
 from bamboovale.fleet.neighbours import BLOCK_S, INTERVAL_S, WORDS_BEFORE_BLOCK
 from bamboovale.fleet.rings import ALL_LINKED_UP_TO, RINGS, Rings
 from bamboovale.fleet.subscriptions import IDLE_S, LAPSE_S, Subscriber, Subscriptions
@@ -292,10 +292,12 @@
 
     def test_a_request_that_crashes_endpoints_is_known_everywhere(self) -> None:
         fleet = started(61)
-        seen: list[SuspectSeen] = []
+        seen: list[SuspectRequest] = []
         for vm in _vms(fleet):
             vm.exchange._on_suspect = seen.append
-        fleet.vm_by_id["vm1"].exchange.note_suspect(SuspectSeen("request", "endpoint"))
+        fleet.vm_by_id["vm1"].exchange.note_suspect(
+            SuspectRequest("request", "endpoint")
+        )
         fleet.run(NEWS_S)
         assert len(seen) == 60
 
