--- a/bamboovale/fleet/gossip.py
+++ b/bamboovale/fleet/gossip.py
@@ -17,7 +17,13 @@
 
 from bamboovale.fleet.changes import ChangeLog
 from bamboovale.fleet.membership import Change, Membership
-from bamboovale.fleet.messages import Gossip, Member, SuspectRequest, TopicRow, Unheard
+from bamboovale.fleet.messages import (
+    Gossip,
+    Member,
+    SuspectRequest,
+    TopicRow,
+    Suspicion,
+)
 from bamboovale.fleet.neighbours import NEVER, SLACK_S, Neighbour, Neighbours
 from bamboovale.fleet.rings import ALL_LINKED_UP_TO
 from bamboovale.fleet.topic_changes import TopicChanges
@@ -305,7 +311,7 @@
             watches=state.watches,
             wants_all=state.wants_all,
             members=tuple(item for item in items if isinstance(item, Member)),
-            unheard=tuple(item for item in items if isinstance(item, Unheard)),
+            unheard=tuple(item for item in items if isinstance(item, Suspicion)),
             suspects=tuple(item for item in items if isinstance(item, SuspectRequest)),
             rows=tuple(rows),
         )
--- a/bamboovale/fleet/membership.py
+++ b/bamboovale/fleet/membership.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from bamboovale.fleet.changes import ChangeLog
-from bamboovale.fleet.messages import Member, SuspectRequest, Unheard
+from bamboovale.fleet.messages import Member, SuspectRequest, Suspicion
 from bamboovale.fleet.rings import Rings
 
 WORDS_NEEDED = 2
@@ -27,7 +27,7 @@
 MOST_MEMBERS = 4096
 """VMs known at once; bounds what a malformed or hostile message can add."""
 
-Change = Member | Unheard | SuspectRequest
+Change = Member | Suspicion | SuspectRequest
 
 
 @dataclass
@@ -62,7 +62,7 @@
         self._known_by_id: dict[str, _Known] = {}
         self._contact_by_id: dict[str, _Contact] = {}
         self._lapsed_by_id: dict[str, tuple[str, int]] = {}
-        self._words_by_id: dict[str, dict[str, Unheard]] = {}
+        self._words_by_id: dict[str, dict[str, Suspicion]] = {}
         self._unheard_by_us: set[str] = set()
         self._changes.put(("member", own.vm_id), own)
 
@@ -203,7 +203,7 @@
         self._publish(replace(self.own, start=member.start + 1))
         return True
 
-    def take_unheard(self, word: Unheard, now: float) -> bool:
+    def take_unheard(self, word: Suspicion, now: float) -> bool:
         """Take an observer's word against a VM; False if it is void or not new."""
         if word.vm_id == self.own.vm_id:
             return self._refute(word)
@@ -221,7 +221,7 @@
         self._judge_all(now)
         return True
 
-    def _refute(self, word: Unheard) -> bool:
+    def _refute(self, word: Suspicion) -> bool:
         """Contradict a word against ourselves."""
         if (word.start, word.refuted) != (self.own.start, self.own.refuted):
             return False
@@ -241,7 +241,7 @@
         if vm_id not in self._unheard_by_us:
             self._unheard_by_us.add(vm_id)
             self.version += 1
-        word = Unheard(self.own.vm_id, vm_id, member.start, member.refuted)
+        word = Suspicion(self.own.vm_id, vm_id, member.start, member.refuted)
         return self.take_unheard(word, now)
 
     def on_heard(self, vm_id: str) -> None:
--- a/bamboovale/fleet/messages.py
+++ b/bamboovale/fleet/messages.py
@@ -37,7 +37,7 @@
 
 @row
 @dataclass(frozen=True)
-class Unheard:
+class Suspicion:
     """An observer's word that a VM has fallen silent.
 
     Void once the VM has started anew or refuted more than ``refuted`` such words.
@@ -83,7 +83,7 @@
     watches: bool = False
     wants_all: bool = False
     members: tuple[Member, ...] = ()
-    unheard: tuple[Unheard, ...] = ()
+    unheard: tuple[Suspicion, ...] = ()
     suspects: tuple[SuspectRequest, ...] = ()
     rows: tuple[TopicRow, ...] = ()
     settled_count: int = 0
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -15,7 +15,7 @@
 
 from bamboovale.decisions.place_work import EngineOutlook
 from bamboovale.decoding import BadRecordError
-from bamboovale.fleet.messages import Member, Unheard
+from bamboovale.fleet.messages import Member, Suspicion
 from bamboovale.gateway.endpoints import EndpointChange, EndpointView
 from bamboovale.gateway.engines import Engines
 from bamboovale.gateway.events import EventBuffer, EventsBroken
@@ -364,7 +364,7 @@
         fleet = fleet_of(*(member(name, 1) for name in "abc"))
         fleet.membership.take(member("a", 2, refuted=1), 1.0)
         for observer in "bc":
-            fleet.membership.take_unheard(Unheard(observer, "a", 1, 0), 1.1)
+            fleet.membership.take_unheard(Suspicion(observer, "a", 1, 0), 1.1)
         assert fleet.is_live("a")
 
 
