--- a/bamboovale/fleet/gossip.py
+++ b/bamboovale/fleet/gossip.py
@@ -173,7 +173,7 @@
         for member in gossip.members:
             self._membership.take(member, now)
         for word in gossip.unheard:
-            self._membership.take_unheard(word, now)
+            self._membership.apply_suspicion(word, now)
         for suspect in gossip.suspects:
             if self.note_suspect(suspect):
                 self._on_suspect(suspect)
--- a/bamboovale/fleet/membership.py
+++ b/bamboovale/fleet/membership.py
@@ -203,7 +203,7 @@
         self._publish(replace(self.own, start=member.start + 1))
         return True
 
-    def take_unheard(self, word: Suspicion, now: float) -> bool:
+    def apply_suspicion(self, word: Suspicion, now: float) -> bool:
         """Take an observer's word against a VM; False if it is void or not new."""
         if word.vm_id == self.own.vm_id:
             return self._refute(word)
@@ -242,7 +242,7 @@
             self._unheard_by_us.add(vm_id)
             self.version += 1
         word = Suspicion(self.own.vm_id, vm_id, member.start, member.refuted)
-        return self.take_unheard(word, now)
+        return self.apply_suspicion(word, now)
 
     def on_heard(self, vm_id: str) -> None:
         """Note that a VM has just sent us something."""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -165,41 +165,41 @@
 
     def test_the_word_of_one_observer_throws_nobody_out(self) -> None:
         view = membership("a", "b", "c", "d")
-        view.take_unheard(Suspicion("b", "a", 1, 0), 1.0)
+        view.apply_suspicion(Suspicion("b", "a", 1, 0), 1.0)
         assert view.is_live("a")
-        view.take_unheard(Suspicion("c", "a", 1, 0), 1.1)
+        view.apply_suspicion(Suspicion("c", "a", 1, 0), 1.1)
         assert not view.is_live("a")
 
     def test_a_word_of_a_vm_that_is_out_does_not_count(self) -> None:
         """A VM is cut off; what it says of the others must not throw them out."""
         view = membership("a", "b", "c", "d")
         for observer in "cd":
-            view.take_unheard(Suspicion(observer, "b", 1, 0), 1.0)
+            view.apply_suspicion(Suspicion(observer, "b", 1, 0), 1.0)
         assert not view.is_live("b")
-        view.take_unheard(Suspicion("b", "a", 1, 0), 1.1)
-        view.take_unheard(Suspicion("c", "a", 1, 0), 1.2)
+        view.apply_suspicion(Suspicion("b", "a", 1, 0), 1.1)
+        view.apply_suspicion(Suspicion("c", "a", 1, 0), 1.2)
         assert view.is_live("a")
 
     def test_a_vm_contradicts_and_is_live_again(self) -> None:
         view = membership("a", "b", "c", "d")
         for observer in "bc":
-            view.take_unheard(Suspicion(observer, "a", 1, 0), 1.0)
+            view.apply_suspicion(Suspicion(observer, "a", 1, 0), 1.0)
         assert view.take(member("a", revision=2, refuted=1), 1.5)
         assert view.is_live("a")
-        assert not view.take_unheard(Suspicion("d", "a", 1, 0), 1.6)
+        assert not view.apply_suspicion(Suspicion("d", "a", 1, 0), 1.6)
 
     def test_news_of_a_dead_vm_that_comes_late_does_not_revive_it(self) -> None:
         """A VM tells what it owns and dies; the news arrives after the words."""
         view = membership("a", "b", "c", "d")
         for observer in "bc":
-            view.take_unheard(Suspicion(observer, "a", 1, 0), 1.0)
+            view.apply_suspicion(Suspicion(observer, "a", 1, 0), 1.0)
         view.take(member("a", revision=2), 1.5)
         assert not view.is_live("a")
 
     def test_words_against_us_are_refuted_once(self) -> None:
         view = membership("a", "b")
-        assert view.take_unheard(Suspicion("a", "me", 1, 0), 1.0)
-        assert not view.take_unheard(Suspicion("b", "me", 1, 0), 1.0)
+        assert view.apply_suspicion(Suspicion("a", "me", 1, 0), 1.0)
+        assert not view.apply_suspicion(Suspicion("b", "me", 1, 0), 1.0)
         assert view.own.refuted == 1
 
     def test_what_a_message_can_add_is_bounded(self) -> None:
@@ -213,7 +213,7 @@
     def test_a_vm_that_is_out_for_long_is_forgotten(self) -> None:
         view = membership("a", "b", "c")
         for observer in "bc":
-            view.take_unheard(Suspicion(observer, "a", 1, 0), 1.0)
+            view.apply_suspicion(Suspicion(observer, "a", 1, 0), 1.0)
         view.forget(1.0 + FORGET_S)
         assert view.member("a") is None
         assert view.take(member("a", start=2), 99.0)
@@ -499,7 +499,7 @@
         for _ in range(10):
             for item in liar.membership.live():
                 word = Suspicion("vm0", item.vm_id, item.start, item.refuted)
-                liar.membership.take_unheard(word, fleet.now)
+                liar.membership.apply_suspicion(word, fleet.now)
             fleet.run(0.5)
             assert all(fleet.who_lists(v) >= 29 for v in fleet.vm_by_id if v != "vm0")
 
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -364,7 +364,7 @@
         fleet = fleet_of(*(member(name, 1) for name in "abc"))
         fleet.membership.take(member("a", 2, refuted=1), 1.0)
         for observer in "bc":
-            fleet.membership.take_unheard(Suspicion(observer, "a", 1, 0), 1.1)
+            fleet.membership.apply_suspicion(Suspicion(observer, "a", 1, 0), 1.1)
         assert fleet.is_live("a")
 
 
