--- a/bamboovale/fleet/membership.py
+++ b/bamboovale/fleet/membership.py
@@ -232,7 +232,7 @@
 
     # What we observe ourselves.
 
-    def on_unheard(self, vm_id: str, now: float) -> bool:
+    def suspect(self, vm_id: str, now: float) -> bool:
         """Note that we do not hear a VM that we watch."""
         known = self._known_by_id.get(vm_id)
         if known is None:
--- a/bamboovale/fleet/neighbours.py
+++ b/bamboovale/fleet/neighbours.py
@@ -245,4 +245,4 @@
             self._blocked_until[vm_id] = now + BLOCK_S
             return
         self._words_by_id[vm_id] = words + 1
-        self._membership.on_unheard(vm_id, now)
+        self._membership.suspect(vm_id, now)
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -264,7 +264,7 @@
     def test_a_silent_vm_is_left_out(self) -> None:
         fleet = fleet_of(member("a", 1))
         assert [item.vm_id for item in fleet.serving()] == ["a"]
-        fleet.membership.on_unheard("a", 5.0)
+        fleet.membership.suspect("a", 5.0)
         assert fleet.serving() == []
 
     def test_a_stopping_vm_is_left_out_at_once(self) -> None:
@@ -289,7 +289,7 @@
         """An owner dies while the store is away; another VM stands in for it."""
         fleet = fleet_of(member("dead", 1, ("e", 5)))
         assert fleet.engine("e") is not None
-        fleet.membership.on_unheard("dead", 2.0)
+        fleet.membership.suspect("dead", 2.0)
         fleet.membership.take(member("b", 1, ("e", 4)), 2.1)
         owned = fleet.engine("e")
         assert owned is not None and owned.owner == "b"
