--- a/bamboovale/fleet/membership.py
+++ b/bamboovale/fleet/membership.py
@@ -112,7 +112,7 @@
         """Return the VMs that do not hear a VM."""
         return sorted(self._words_by_id.get(vm_id, ()))
 
-    def unheard_ids(self) -> list[str]:
+    def suspected_ids(self) -> list[str]:
         """Return the VMs that some observer does not hear."""
         return sorted(self._words_by_id)
 
--- a/bamboovale/gateway/state_dump.py
+++ b/bamboovale/gateway/state_dump.py
@@ -32,7 +32,7 @@
         },
         "unheard": {
             vm_id: membership.observers_against(vm_id)
-            for vm_id in membership.unheard_ids()
+            for vm_id in membership.suspected_ids()
         },
         "named": {
             domain: [member.vm_id for member in members]
