--- a/bamboovale/fleet/membership.py
+++ b/bamboovale/fleet/membership.py
@@ -108,7 +108,7 @@
         contact = self._contact_by_id.get(vm_id)
         return contact.address if contact else self._lapsed_by_id.get(vm_id)
 
-    def observers_against(self, vm_id: str) -> list[str]:
+    def suspecting_observers(self, vm_id: str) -> list[str]:
         """Return the VMs that do not hear a VM."""
         return sorted(self._words_by_id.get(vm_id, ()))
 
--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -222,7 +222,7 @@
             silent=_some(before - live),
             live=len(live) + 1,
             unheard_by={
-                vm_id: self._state.fleet.membership.observers_against(vm_id)
+                vm_id: self._state.fleet.membership.suspecting_observers(vm_id)
                 for vm_id in _some(before - live)
             },
         )
--- a/bamboovale/gateway/state_dump.py
+++ b/bamboovale/gateway/state_dump.py
@@ -31,7 +31,7 @@
             for vm_id, neighbour in exchange.neighbours.by_id.items()
         },
         "unheard": {
-            vm_id: membership.observers_against(vm_id)
+            vm_id: membership.suspecting_observers(vm_id)
             for vm_id in membership.suspected_ids()
         },
         "named": {
