--- a/bamboovale/fleet/membership.py
+++ b/bamboovale/fleet/membership.py
@@ -244,7 +244,7 @@
         word = Suspicion(self.own.vm_id, vm_id, member.start, member.refuted)
         return self.apply_suspicion(word, now)
 
-    def on_heard(self, vm_id: str) -> None:
+    def clear_suspicion(self, vm_id: str) -> None:
         """Note that a VM has just sent us something."""
         if vm_id in self._unheard_by_us:
             self._unheard_by_us.discard(vm_id)
