--- a/bamboovale/fleet/membership.py
+++ b/bamboovale/fleet/membership.py
@@ -161,7 +161,7 @@
         self.rings.remove(vm_id)
         return True
 
-    def take(self, member: Member, now: float) -> bool:
+    def apply(self, member: Member, now: float) -> bool:
         """Take what a VM tells of itself; False if it is not new."""
         if member.vm_id == self.own.vm_id:
             return self._take_own(member)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -47,7 +47,7 @@
     changes: ChangeLog[Change] = ChangeLog()
     result = Membership(member("me"), changes)
     for vm_id in others:
-        result.take(member(vm_id), 0.0)
+        result.apply(member(vm_id), 0.0)
     return result
 
 
@@ -144,8 +144,8 @@
     def test_an_older_start_never_displaces_a_newer_one(self) -> None:
         """News of a VM's last start comes late, over a slow neighbour."""
         view = membership("a")
-        assert view.take(member("a", start=5), 1.0)
-        assert not view.take(member("a", start=4, revision=99), 1.1)
+        assert view.apply(member("a", start=5), 1.0)
+        assert not view.apply(member("a", start=4, revision=99), 1.1)
         known = view.member("a")
         assert known is not None and known.start == 5
 
@@ -156,12 +156,12 @@
         to it. It hears of its last start and tells of a later one.
         """
         view = membership("a")
-        view.take(member("me", start=1000, revision=7), 1.0)
+        view.apply(member("me", start=1000, revision=7), 1.0)
         assert view.own.start == 1001
         changes: ChangeLog[Change] = ChangeLog()
         other = Membership(member("other"), changes)
-        other.take(member("me", start=1000, revision=7), 0.5)
-        assert other.take(view.own, 1.0)
+        other.apply(member("me", start=1000, revision=7), 0.5)
+        assert other.apply(view.own, 1.0)
 
     def test_the_word_of_one_observer_throws_nobody_out(self) -> None:
         view = membership("a", "b", "c", "d")
@@ -184,7 +184,7 @@
         view = membership("a", "b", "c", "d")
         for observer in "bc":
             view.apply_suspicion(Suspicion(observer, "a", 1, 0), 1.0)
-        assert view.take(member("a", revision=2, refuted=1), 1.5)
+        assert view.apply(member("a", revision=2, refuted=1), 1.5)
         assert view.is_live("a")
         assert not view.apply_suspicion(Suspicion("d", "a", 1, 0), 1.6)
 
@@ -193,7 +193,7 @@
         view = membership("a", "b", "c", "d")
         for observer in "bc":
             view.apply_suspicion(Suspicion(observer, "a", 1, 0), 1.0)
-        view.take(member("a", revision=2), 1.5)
+        view.apply(member("a", revision=2), 1.5)
         assert not view.is_live("a")
 
     def test_words_against_us_are_refuted_once(self) -> None:
@@ -206,7 +206,7 @@
         """A member claims thousands of others that do not exist."""
         view = membership()
         for number in range(MOST_MEMBERS + 100):
-            view.take(member(f"vm{number}"), 0.0)
+            view.apply(member(f"vm{number}"), 0.0)
             view.on_contact(f"contact{number}", ("10.0.0.1", 1), 0.0)
         assert len(view.live()) + len(view.not_live()) <= MOST_MEMBERS
 
@@ -216,7 +216,7 @@
             view.apply_suspicion(Suspicion(observer, "a", 1, 0), 1.0)
         view.forget(1.0 + FORGET_S)
         assert view.member("a") is None
-        assert view.take(member("a", start=2), 99.0)
+        assert view.apply(member("a", start=2), 99.0)
 
 
 class TestFleetOfHundreds:
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -254,7 +254,7 @@
     """Return the fleet of a VM that has heard of these."""
     fleet = Fleet(member("me", 1))
     for item in members:
-        fleet.membership.take(item, 0.0)
+        fleet.membership.apply(item, 0.0)
     return fleet
 
 
@@ -269,7 +269,7 @@
 
     def test_a_stopping_vm_is_left_out_at_once(self) -> None:
         fleet = fleet_of(member("a", 1))
-        fleet.membership.take(member("a", 2, serving=False), 0.1)
+        fleet.membership.apply(member("a", 2, serving=False), 0.1)
         assert fleet.serving() == []
 
     def test_the_owner_with_the_higher_number_is_believed(self) -> None:
@@ -280,7 +280,7 @@
         fleet = fleet_of(member("new", 1, ("e", 5)))
         owned = fleet.engine("e")
         assert owned is not None and owned.owner == "new"
-        fleet.membership.take(member("old", 1, ("e", 4)), 1.1)
+        fleet.membership.apply(member("old", 1, ("e", 4)), 1.1)
         fleet.on_statuses("old", [status("e", 4)], 1.2)
         owned = fleet.engine("e")
         assert owned is not None and owned.owner == "new"
@@ -290,17 +290,17 @@
         fleet = fleet_of(member("dead", 1, ("e", 5)))
         assert fleet.engine("e") is not None
         fleet.membership.suspect("dead", 2.0)
-        fleet.membership.take(member("b", 1, ("e", 4)), 2.1)
+        fleet.membership.apply(member("b", 1, ("e", 4)), 2.1)
         owned = fleet.engine("e")
         assert owned is not None and owned.owner == "b"
 
     def test_an_engine_that_its_owner_no_longer_names_is_given_up(self) -> None:
         fleet = fleet_of(member("a", 1, ("e", 5)))
         assert fleet.engine("e") is not None
-        fleet.membership.take(member("a", 2), 1.1)
+        fleet.membership.apply(member("a", 2), 1.1)
         owned = fleet.engine("e")
         assert owned is not None and owned.given_up
-        fleet.membership.take(member("b", 1, ("e", 4)), 1.2)
+        fleet.membership.apply(member("b", 1, ("e", 4)), 1.2)
         owned = fleet.engine("e")
         assert owned is not None and owned.owner == "b"
 
@@ -311,7 +311,7 @@
         """
         fleet = fleet_of(member("a", 1), member("b", 1))
         fleet.on_statuses("a", [status("e", 4)], 1.0)
-        fleet.membership.take(member("b", 2), 1.1)
+        fleet.membership.apply(member("b", 2), 1.1)
         owned = fleet.engine("e")
         assert owned is not None and not owned.given_up and owned.owner == "a"
 
@@ -319,7 +319,7 @@
         """An owner stops; who asks its successor first knows what is loaded."""
         fleet = fleet_of(member("a", 1, ("e", 4)))
         fleet.on_statuses("a", [replace(status("e", 4), kept=7)], 1.0)
-        fleet.membership.take(member("b", 1, ("e", 5)), 1.1)
+        fleet.membership.apply(member("b", 1, ("e", 5)), 1.1)
         owned = fleet.engine("e")
         assert owned is not None and owned.owner == "b"
         assert owned.status is not None and owned.status.kept == 7
@@ -330,7 +330,7 @@
         fleets = [Fleet(member(name, 1)) for name in names]
         for fleet in fleets:
             for name in names:
-                fleet.membership.take(member(name, 1), 0.0)
+                fleet.membership.apply(member(name, 1), 0.0)
         candidates = {tuple(fleet.owner_candidates()) for fleet in fleets}
         assert len(candidates) == 1
         assert len(candidates.pop()) == 24
@@ -352,7 +352,7 @@
         """
         fleet = fleet_of(member("a", 1, ("e", 4)))
         fleet.on_statuses("a", [status("e", 4)], 1.0)
-        fleet.membership.take(member("b", 1, ("e", 5)), 1.1)
+        fleet.membership.apply(member("b", 1, ("e", 5)), 1.1)
         fleet.on_statuses("b", [status("e", 5)], 1.15)
         fleet.on_loads("a", (EngineLoad("e", 0, 0, 0.0, 18),), 1.2)
         owned = fleet.engine("e")
@@ -362,7 +362,7 @@
     def test_a_word_that_was_refuted_is_void(self) -> None:
         """Two neighbours of a VM that was frozen say so late, after it has woken up."""
         fleet = fleet_of(*(member(name, 1) for name in "abc"))
-        fleet.membership.take(member("a", 2, refuted=1), 1.0)
+        fleet.membership.apply(member("a", 2, refuted=1), 1.0)
         for observer in "bc":
             fleet.membership.apply_suspicion(Suspicion(observer, "a", 1, 0), 1.1)
         assert fleet.is_live("a")
