--- a/bamboovale/fleet/membership.py
+++ b/bamboovale/fleet/membership.py
@@ -126,7 +126,7 @@
 
     # What we tell of ourselves.
 
-    def tell(self, **fields: Any) -> bool:
+    def update_own(self, **fields: Any) -> bool:
         """Change what we tell of ourselves; False if nothing changes."""
         changed = replace(self.own, **fields)
         if changed == self.own:
