--- a/bamboovale/fleet/gossip.py
+++ b/bamboovale/fleet/gossip.py
@@ -171,7 +171,7 @@
             self._answer_greeting(neighbour, now)
         neighbour.config_version = gossip.config_version
         for member in gossip.members:
-            self._membership.take(member, now)
+            self._membership.apply(member, now)
         for word in gossip.unheard:
             self._membership.apply_suspicion(word, now)
         for suspect in gossip.suspects:
--- a/bamboovale/fleet/neighbours.py
+++ b/bamboovale/fleet/neighbours.py
@@ -117,7 +117,7 @@
         neighbour.cut = False
         self._words_by_id.pop(vm_id, None)
         self._blocked_until.pop(vm_id, None)
-        self._membership.on_heard(vm_id)
+        self._membership.clear_suspicion(vm_id)
         return neighbour
 
     def heard_and_silent(self, now: float) -> tuple[set[str], set[str]]:
@@ -177,7 +177,7 @@
         """Go by the others' word on VMs that we did not hear and no longer watch."""
         for vm_id in self._membership.unheard_by_us():
             if vm_id not in watched and not passed_over(vm_id):
-                self._membership.on_heard(vm_id)
+                self._membership.clear_suspicion(vm_id)
 
     def _width(self, now: float) -> int:
         """Return how many neighbours to try on each side of each ring."""
--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -107,7 +107,7 @@
     def tell(self) -> None:
         """Tell what has changed of us with the next message to each neighbour."""
         self.exchange.config_version = self._config_version()
-        is_new = self._state.fleet.membership.tell(
+        is_new = self._state.fleet.membership.update_own(
             serving=self._state.serving(),
             owned=self._owned(),
             busy=self._lateness.is_busy,
@@ -131,7 +131,7 @@
 
     def tell_leaving(self) -> None:
         """Tell the neighbours that this process ends now."""
-        self._state.fleet.membership.tell(serving=False, left=True)
+        self._state.fleet.membership.update_own(serving=False, left=True)
         self.exchange.hurry()
         self._send_due()
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -242,7 +242,7 @@
     def test_a_vm_that_says_that_it_ends_is_out_at_once(self) -> None:
         fleet = started(LARGE)
         leaving = fleet.vm_by_id["vm7"]
-        leaving.membership.tell(left=True)
+        leaving.membership.update_own(left=True)
         leaving.exchange.hurry()
         fleet.send_due(leaving)
         fleet.run(0.01)
