--- a/bamboovale/fleet/gossip.py
+++ b/bamboovale/fleet/gossip.py
@@ -148,7 +148,7 @@
             return self.neighbours.interval_s()
         return WATCH_RENEWAL_S if neighbour.watched else math.inf
 
-    def hurry(self) -> None:
+    def mark_all_due(self) -> None:
         """Let ``due`` send to every neighbour now, for the last words of a process."""
         for neighbour in self.neighbours.by_id.values():
             neighbour.sent_at = NEVER
--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -132,7 +132,7 @@
     def tell_leaving(self) -> None:
         """Tell the neighbours that this process ends now."""
         self._state.fleet.membership.update_own(serving=False, left=True)
-        self.exchange.hurry()
+        self.exchange.mark_all_due()
         self._send_due()
 
     def tell_suspect(self, suspect: SuspectRequest) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -243,7 +243,7 @@
         fleet = started(LARGE)
         leaving = fleet.vm_by_id["vm7"]
         leaving.membership.update_own(left=True)
-        leaving.exchange.hurry()
+        leaving.exchange.mark_all_due()
         fleet.send_due(leaving)
         fleet.run(0.01)
         fleet.kill("vm7")
