--- a/bamboovale/fleet/gossip.py
+++ b/bamboovale/fleet/gossip.py
@@ -153,7 +153,7 @@
         for neighbour in self.neighbours.by_id.values():
             neighbour.sent_at = NEVER
 
-    def has_news(self) -> bool:
+    def has_updates(self) -> bool:
         """Tell whether a neighbour is to be told something before its interval ends."""
         return any(
             neighbour.sent_at == NEVER or self._is_behind(neighbour)
--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -275,7 +275,7 @@
         if isinstance(message, Gossip):
             version = self._state.fleet.version
             self.exchange.on_gossip(sender, message, now)
-            if self.exchange.has_news():
+            if self.exchange.has_updates():
                 self._news.set()
             if self._state.fleet.version != version:
                 self._note_live()
