--- a/bamboovale/fleet/neighbours.py
+++ b/bamboovale/fleet/neighbours.py
@@ -120,7 +120,7 @@
         self._membership.clear_suspicion(vm_id)
         return neighbour
 
-    def heard_and_silent(self, now: float) -> tuple[set[str], set[str]]:
+    def reachable_and_silent(self, now: float) -> tuple[set[str], set[str]]:
         """Return the VMs heard of late, and those that we do not hear."""
         last = now - self.silent_after_s()
         heard = {v for v, n in self.by_id.items() if n.heard_at >= last}
--- a/bamboovale/gateway/isolation.py
+++ b/bamboovale/gateway/isolation.py
@@ -42,7 +42,7 @@
         since = self._state.now()
         while True:
             await asyncio.sleep(LOOK_S)
-            heard, silent = self._exchange.neighbours.heard_and_silent(
+            heard, silent = self._exchange.neighbours.reachable_and_silent(
                 self._state.now()
             )
             minority = len(silent) > len(heard) + 1
