--- a/bamboovale/fleet/neighbours.py
+++ b/bamboovale/fleet/neighbours.py
@@ -53,7 +53,7 @@
 
     awaited_from: float
     told: int
-    heard_at: float = NEVER
+    last_seen_at: float = NEVER
     watches_us_until: float = NEVER
     sent_at: float = NEVER
     told_offset: int = 0
@@ -66,7 +66,7 @@
 
     def quiet_since(self) -> float:
         """Return since when its silence counts."""
-        return max(self.awaited_from, self.heard_at)
+        return max(self.awaited_from, self.last_seen_at)
 
 
 class Neighbours:
--- a/bamboovale/gateway/state_dump.py
+++ b/bamboovale/gateway/state_dump.py
@@ -25,7 +25,7 @@
         "peers": peers,
         "neighbours": {
             vm_id: {
-                "heard_s_ago": finite_age_s(now - neighbour.heard_at),
+                "heard_s_ago": finite_age_s(now - neighbour.last_seen_at),
                 "watched": neighbour.watched,
             }
             for vm_id, neighbour in exchange.neighbours.by_id.items()
