--- a/bamboovale/fleet/gossip.py
+++ b/bamboovale/fleet/gossip.py
@@ -164,7 +164,7 @@
 
     def on_gossip(self, sender: str, gossip: Gossip, now: float) -> None:
         """Take a message; what is new in it is passed on with the next ``due``."""
-        neighbour = self.neighbours.on_heard(sender, now)
+        neighbour = self.neighbours.on_message(sender, now)
         if gossip.watches:
             neighbour.watches_us_until = now + WATCHER_S
         if any(member.vm_id == sender for member in gossip.members):
--- a/bamboovale/fleet/neighbours.py
+++ b/bamboovale/fleet/neighbours.py
@@ -110,7 +110,7 @@
             neighbour = self.by_id[vm_id] = self._new(now)
         return neighbour
 
-    def on_heard(self, vm_id: str, now: float) -> Neighbour:
+    def on_message(self, vm_id: str, now: float) -> Neighbour:
         """Note that a VM has just sent us something; return it."""
         neighbour = self.get(vm_id, now)
         neighbour.heard_at = now
