--- a/bamboovale/fleet/subscriptions.py
+++ b/bamboovale/fleet/subscriptions.py
@@ -70,7 +70,7 @@
         """Tell whether this VM chooses engines."""
         return now - self._needed_at < IDLE_S
 
-    def to_ask(self, owners: set[str], now: float) -> list[str]:
+    def due_renewals(self, owners: set[str], now: float) -> list[str]:
         """Return the owners to ask now, and note that they are asked."""
         for owner in self._asked_at.keys() - owners:
             del self._asked_at[owner]
--- a/bamboovale/gateway/engine_news.py
+++ b/bamboovale/gateway/engine_news.py
@@ -84,7 +84,7 @@
         if not owns_some and not self._interest.is_needed(now):
             return
         others = self._state.fleet.owner_ids() - {self._state.node.name}
-        due = self._interest.to_ask(others, now)
+        due = self._interest.due_renewals(others, now)
         if due:
             self._links.notify_all(due, StatusesWanted())
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -537,10 +537,10 @@
         assert not interest.is_needed(100.0)
         assert interest.note_request(100.0)
         assert not interest.note_request(101.0)
-        assert set(interest.to_ask({"a", "b"}, 101.0)) == {"a", "b"}
-        assert interest.to_ask({"a", "b"}, 102.0) == []
-        assert interest.to_ask({"a", "b", "c"}, 102.5) == ["c"]
-        assert set(interest.to_ask({"a", "b"}, 103.1)) == {"a", "b"}
+        assert set(interest.due_renewals({"a", "b"}, 101.0)) == {"a", "b"}
+        assert interest.due_renewals({"a", "b"}, 102.0) == []
+        assert interest.due_renewals({"a", "b", "c"}, 102.5) == ["c"]
+        assert set(interest.due_renewals({"a", "b"}, 103.1)) == {"a", "b"}
         assert not interest.is_needed(101.0 + IDLE_S)
 
 
