--- a/bamboovale/fleet/subscriptions.py
+++ b/bamboovale/fleet/subscriptions.py
@@ -62,7 +62,7 @@
         self._needed_at = now
         return was_idle
 
-    def note_asked(self, owner: str, now: float) -> None:
+    def note_renewal(self, owner: str, now: float) -> None:
         """Note a message that the owner takes for asking."""
         self._asked_at[owner] = now
 
