--- a/bamboovale/fleet/subscriptions.py
+++ b/bamboovale/fleet/subscriptions.py
@@ -58,7 +58,7 @@
 
     def note_request(self, now: float) -> bool:
         """Note that a request needs an engine; True if nothing was asked for before."""
-        was_idle = not self.is_needed(now)
+        was_idle = not self.is_active(now)
         self._needed_at = now
         return was_idle
 
@@ -66,7 +66,7 @@
         """Note a message that the owner takes for asking."""
         self._asked_at[owner] = now
 
-    def is_needed(self, now: float) -> bool:
+    def is_active(self, now: float) -> bool:
         """Tell whether this VM chooses engines."""
         return now - self._needed_at < IDLE_S
 
--- a/bamboovale/gateway/engine_news.py
+++ b/bamboovale/gateway/engine_news.py
@@ -81,7 +81,7 @@
         """
         now = self._state.now()
         owns_some = bool(self._engines.owner_by_engine)
-        if not owns_some and not self._interest.is_needed(now):
+        if not owns_some and not self._interest.is_active(now):
             return
         others = self._state.fleet.owner_ids() - {self._state.node.name}
         due = self._interest.due_renewals(others, now)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -534,14 +534,14 @@
 
     def test_a_vm_asks_while_it_chooses_engines(self) -> None:
         interest = Subscriber()
-        assert not interest.is_needed(100.0)
+        assert not interest.is_active(100.0)
         assert interest.note_request(100.0)
         assert not interest.note_request(101.0)
         assert set(interest.due_renewals({"a", "b"}, 101.0)) == {"a", "b"}
         assert interest.due_renewals({"a", "b"}, 102.0) == []
         assert interest.due_renewals({"a", "b", "c"}, 102.5) == ["c"]
         assert set(interest.due_renewals({"a", "b"}, 103.1)) == {"a", "b"}
-        assert not interest.is_needed(101.0 + IDLE_S)
+        assert not interest.is_active(101.0 + IDLE_S)
 
 
 NAMES = [f"vm{number}" for number in range(14)]
