--- a/bamboovale/fleet/subscriptions.py
+++ b/bamboovale/fleet/subscriptions.py
@@ -33,7 +33,7 @@
         self._asked_at[vm_id] = now
         return before is None or now - before > LAPSE_S
 
-    def current(self, now: float) -> list[str]:
+    def subscribers(self, now: float) -> list[str]:
         """Return whom to tell."""
         for vm_id, asked_at in list(self._asked_at.items()):
             if now - asked_at > LAPSE_S:
--- a/bamboovale/gateway/engine_news.py
+++ b/bamboovale/gateway/engine_news.py
@@ -38,7 +38,7 @@
         statuses = self._statuses()
         self._state.fleet.on_statuses(self._state.node.name, statuses.statuses, now)
         if statuses.statuses:
-            self._links.notify_all(self._subscriptions.current(now), statuses)
+            self._links.notify_all(self._subscriptions.subscribers(now), statuses)
 
     async def tell_statuses_forever(self) -> None:
         """Tell at intervals, while there is something to tell."""
@@ -61,7 +61,7 @@
             told = loads
             now = self._state.now()
             self._state.fleet.on_loads(self._state.node.name, loads.loads, now)
-            self._links.notify_all(self._subscriptions.current(now), loads)
+            self._links.notify_all(self._subscriptions.subscribers(now), loads)
 
     def _statuses(self) -> EngineStatuses:
         owners = self._engines.owner_by_engine.values()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -520,7 +520,7 @@
         assert subscriptions.renew("a", 0.0)
         assert not subscriptions.renew("a", 2.0)
         assert subscriptions.renew("b", 4.0)
-        assert subscriptions.current(LAPSE_S + 3.0) == ["b"]
+        assert subscriptions.subscribers(LAPSE_S + 3.0) == ["b"]
         assert subscriptions.renew("a", LAPSE_S + 4.0)
 
     def test_more_listeners_are_told_less_often(self) -> None:
