--- a/bamboovale/standins/runs.py
+++ b/bamboovale/standins/runs.py
@@ -224,7 +224,7 @@
                 self._admit()
             due += self._step_s * float(self._faults.get("slow_factor", 1.0))
             time.sleep(max(0.0, due - time.monotonic()))
-            # A machine too busy to keep up slows the engine; it does not mark_all_due after.
+            # A machine too busy to keep up slows the engine; it does not hurry after.
             due = max(due, time.monotonic() - self._step_s)
             with self.lock:
                 self._step()
