--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -268,7 +268,7 @@
         dump.add("engines", self._holders.dump)
         dump.add("decisions", self.desk.dump)
         dump.add("permits_in_use", lambda: self._permits.held_count())
-        dump.add("links", lambda: as_json(self._links.connected()))
+        dump.add("links", lambda: as_json(self._links.link_states()))
         dump.add(
             "hints",
             lambda: {
--- a/bamboovale/peers/links.py
+++ b/bamboovale/peers/links.py
@@ -144,7 +144,7 @@
             if loop is not None:
                 loop.call_soon_threadsafe(self._enqueue_notice, tuple(vm_ids), data)
 
-    def connected(self) -> dict[str, LinkState]:
+    def link_states(self) -> dict[str, LinkState]:
         """Return the state of the links by VM id."""
         incoming = Counter(link.sender for link in self._incoming.copy())
         links = self._link_by_vm_id.copy()
--- a/tests/test_peer_links.py
+++ b/tests/test_peer_links.py
@@ -254,8 +254,8 @@
     def test_the_state_of_links_is_shown(self, pair) -> None:
         a, b = pair
         a.ask("b", "x")
-        assert a.links.connected()["b"].outgoing == "open"
-        assert b.links.connected()["a"].incoming == 1
+        assert a.links.link_states()["b"].outgoing == "open"
+        assert b.links.link_states()["a"].incoming == 1
 
 
 class TestUnreachable:
@@ -343,7 +343,7 @@
             stranger.send(cbor2.dumps({"type": "proof", "proof": challenge["proof"]}))
             with pytest.raises(ConnectionClosed):
                 stranger.recv(timeout=3)
-        assert b.links.connected() == {}
+        assert b.links.link_states() == {}
 
 
 class TestStrangers:
@@ -421,7 +421,7 @@
         with pytest.raises(PeerLostError):
             a.ask("b", "ignore", timeout_s=30)
         assert time.monotonic() - began < SILENCE_FOUND_WITHIN_S
-        eventually(lambda: b.links.connected().get("a") is None)
+        eventually(lambda: b.links.link_states().get("a") is None)
 
     def test_a_timeout_says_that_the_request_may_have_arrived(self, pair) -> None:
         a, b = pair
