--- a/bamboovale/peers/incoming.py
+++ b/bamboovale/peers/incoming.py
@@ -70,7 +70,7 @@
         if self._loop.time() - self._last_received_at > CALLED_SILENCE_S:
             self._channel.abort("silent")
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """End the connection without a word."""
         self._channel.abort("silent")
 
--- a/bamboovale/peers/links.py
+++ b/bamboovale/peers/links.py
@@ -185,7 +185,7 @@
             else:
                 incoming.notify(data)
 
-    def cut(self, vm_id: str) -> None:
+    def abort(self, vm_id: str) -> None:
         """Cut the links with a peer that we do not hear; the next message opens one.
 
         Guards against connections that go silent without a reset while new ones work:
@@ -194,10 +194,10 @@
         """
         outgoing = self._link_by_vm_id.get(vm_id)
         if outgoing is not None:
-            outgoing.cut()
+            outgoing.abort()
         for incoming in list(self._incoming):
             if incoming.sender == vm_id:
-                incoming.cut()
+                incoming.abort()
 
     def _enqueue(self, vm_id: str, item: Outbound, timeout_s: float | None) -> None:
         link = self._link_by_vm_id.get(vm_id)
--- a/bamboovale/peers/outgoing.py
+++ b/bamboovale/peers/outgoing.py
@@ -159,7 +159,7 @@
         elif check is Check.SILENT:
             self._channel.abort("silent")
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """End the connection without a word; what was sent over it fails."""
         if self._channel is not None:
             self._channel.abort("silent")
