--- a/bamboovale/engines/holder.py
+++ b/bamboovale/engines/holder.py
@@ -41,7 +41,7 @@
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
 from bamboovale.models import AdapterVersion, WorkClass
-from bamboovale.peers.messages import LoadTurnGiven, PermitAsk, PermitReply
+from bamboovale.peers.messages import LoadTurnGiven, PermitRequest, PermitReply
 
 VIEW_INTERVAL_S = 0.5
 """How often the engine's exact state is read: finds cold restarts within a second."""
@@ -380,7 +380,7 @@
         )
 
 
-def _work_item(ask: PermitAsk, entry_vm: str, now: float) -> WorkItem:
+def _work_item(ask: PermitRequest, entry_vm: str, now: float) -> WorkItem:
     return WorkItem(
         request_id=ask.request_id,
         entry_vm=entry_vm,
--- a/bamboovale/engines/messages.py
+++ b/bamboovale/engines/messages.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from bamboovale.decisions.work import EngineView, Permit
-from bamboovale.peers.messages import LoadTurnGiven, PermitAsk, PermitReply
+from bamboovale.peers.messages import LoadTurnGiven, PermitRequest, PermitReply
 
 
 @dataclass(frozen=True)
@@ -12,7 +12,7 @@
     """An ask with the way back to the entry VM that sent it."""
 
     from_vm: str
-    ask: PermitAsk
+    ask: PermitRequest
     reply: Callable[[PermitReply], None] | None
 
 
--- a/bamboovale/entry/holder_links.py
+++ b/bamboovale/entry/holder_links.py
@@ -13,7 +13,7 @@
 from bamboovale.errors import ErrorCode
 from bamboovale.peers.links import PeerLinks
 from bamboovale.peers.messages import (
-    PermitAsk,
+    PermitRequest,
     PermitCancel,
     PermitRelease,
     PermitReply,
@@ -54,7 +54,7 @@
         lease = self._views.lease_by_engine.get(engine_id)
         return -1 if lease is None else lease.fencing
 
-    def ask(self, holder: str, ask: PermitAsk, timeout_s: float) -> "Future[Any]":
+    def ask(self, holder: str, ask: PermitRequest, timeout_s: float) -> "Future[Any]":
         """Send the first ask of a request."""
         if holder != self._own_id:
             return self._links.request(holder, ask, timeout_s)
@@ -73,7 +73,7 @@
 def deliver_ask(
     holders: Holders,
     from_vm: str,
-    ask: PermitAsk,
+    ask: PermitRequest,
     reply: Any,
 ) -> None:
     """Hand an ask to the engine's holder here, or send it elsewhere."""
@@ -97,7 +97,7 @@
     holder = holders.find(message.engine_id)
     if holder is None:
         return
-    if isinstance(message, PermitAsk):
+    if isinstance(message, PermitRequest):
         tell(holder, AskReceived(from_vm, message, None))
     elif isinstance(message, PermitCancel):
         tell(holder, CancelReceived(message.request_id))
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -29,7 +29,7 @@
     LoadTurnAsk,
     LoadTurnEnded,
     LoadTurnGiven,
-    PermitAsk,
+    PermitRequest,
     PermitCancel,
     PermitRelease,
     PermitsHeld,
@@ -65,14 +65,14 @@
         self._views = views
         self._targets = targets
         self._request_by_type: dict[type, Callable[[str, Any, Reply], None]] = {
-            PermitAsk: self._on_permit_ask,
+            PermitRequest: self._on_permit_ask,
             PermitsQuery: self._on_permits_query,
             CatalogueQuery: self._on_catalogue_query,
             RevisionQuery: self._on_revision_query,
             AnswerQuery: self._on_answer_query,
         }
         self._notice_by_type: dict[type, Callable[[str, Any], None]] = {
-            PermitAsk: self._on_holder_notice,
+            PermitRequest: self._on_holder_notice,
             PermitCancel: self._on_holder_notice,
             PermitRelease: self._on_holder_notice,
             StatusNotice: self._on_status,
@@ -95,7 +95,7 @@
         if handler is not None:
             handler(sender, message)
 
-    def _on_permit_ask(self, sender: str, ask: PermitAsk, reply: Reply) -> None:
+    def _on_permit_ask(self, sender: str, ask: PermitRequest, reply: Reply) -> None:
         deliver_ask(self._targets.holders, sender, ask, reply)
 
     def _on_holder_notice(self, sender: str, message: Any) -> None:
--- a/bamboovale/entry/permits.py
+++ b/bamboovale/entry/permits.py
@@ -16,7 +16,7 @@
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
 from bamboovale.peers.messages import (
-    PermitAsk,
+    PermitRequest,
     PermitCancel,
     PermitRelease,
     PermitReply,
@@ -40,7 +40,7 @@
         """Return the fencing number of the present holder, -1 if not known."""
         ...
 
-    def ask(self, holder: str, ask: PermitAsk, timeout_s: float) -> "Future[Any]":
+    def ask(self, holder: str, ask: PermitRequest, timeout_s: float) -> "Future[Any]":
         """Send the first ask; the future brings a :class:`PermitReply`."""
         ...
 
@@ -213,11 +213,11 @@
             left_s + 2 * GRACE_S,
         )
 
-    def _message(self, left_s: float) -> PermitAsk:
+    def _message(self, left_s: float) -> PermitRequest:
         number = len(self._asked_at_by_number) + 1
         self._asked_at_by_number[number] = self._now()
         item = self._item
-        return PermitAsk(
+        return PermitRequest(
             engine_id=self._engine_id,
             request_id=item.request_id,
             ask_number=number,
--- a/bamboovale/peers/messages.py
+++ b/bamboovale/peers/messages.py
@@ -10,7 +10,7 @@
 
 @message("permit_ask")
 @dataclass(frozen=True)
-class PermitAsk:
+class PermitRequest:
     """Ask the lease holder of an engine for a place.
 
     Repeated with a higher ``ask_number`` while the entry VM waits. Times are
--- a/tests/test_engine_holder.py
+++ b/tests/test_engine_holder.py
@@ -15,7 +15,7 @@
 from bamboovale.engines.messages import AskReceived, ViewRead
 from bamboovale.environment import Environment
 from bamboovale.metrics import Metrics
-from bamboovale.peers.messages import PermitAsk, PermitReply
+from bamboovale.peers.messages import PermitRequest, PermitReply
 from bamboovale.settings import Settings
 
 
@@ -75,7 +75,7 @@
             self.actor.ask(ViewRead(None))
 
     def ask(self, request_id: str, adapter: str) -> None:
-        ask = PermitAsk(
+        ask = PermitRequest(
             engine_id="g1",
             request_id=request_id,
             ask_number=1,
--- a/tests/test_entry_permits.py
+++ b/tests/test_entry_permits.py
@@ -20,7 +20,7 @@
 from bamboovale.metrics import Metrics
 from bamboovale.models import AdapterVersion, WorkClass
 from bamboovale.peers.messages import (
-    PermitAsk,
+    PermitRequest,
     PermitCancel,
     PermitRelease,
     PermitReply,
@@ -54,7 +54,7 @@
     def fencing_of(self, engine_id: str) -> int:
         return self.fencing
 
-    def ask(self, holder: str, ask: PermitAsk, timeout_s: float) -> "Future[Any]":
+    def ask(self, holder: str, ask: PermitRequest, timeout_s: float) -> "Future[Any]":
         self.asked.set()
         return self.future
 
