--- a/bamboovale/engines/load_turns.py
+++ b/bamboovale/engines/load_turns.py
@@ -8,7 +8,7 @@
 from bamboovale.decisions.loads import LoadConfig, LoadScheduler, LoadTurn
 from bamboovale.environment import Environment
 from bamboovale.leases.messages import WEIGHT_STORE
-from bamboovale.peers.messages import LoadTurnAsk, LoadTurnEnded, LoadTurnGiven
+from bamboovale.peers.messages import LoadGrantRequest, LoadTurnEnded, LoadTurnGiven
 from bamboovale.views import Views
 
 
@@ -17,7 +17,7 @@
     """A holder, here or on the VM named, wants a turn."""
 
     from_vm: str
-    ask: LoadTurnAsk
+    ask: LoadGrantRequest
 
 
 @dataclass(frozen=True)
@@ -96,7 +96,7 @@
         elif message.from_vm == self._own_id:
             self._ask_elsewhere(ask, now)
 
-    def _ask_elsewhere(self, ask: LoadTurnAsk, now: float) -> None:
+    def _ask_elsewhere(self, ask: LoadGrantRequest, now: float) -> None:
         scheduler = self._views.holder_of(WEIGHT_STORE)
         usable = {vm.id for vm in self._views.membership.usable_entry_vms()}
         if scheduler in usable and scheduler != self._own_id:
--- a/bamboovale/engines/turn_routes.py
+++ b/bamboovale/engines/turn_routes.py
@@ -9,7 +9,7 @@
 from bamboovale.engines.messages import (
     TurnGiven,
 )
-from bamboovale.peers.messages import LoadTurnAsk, LoadTurnEnded, LoadTurnGiven
+from bamboovale.peers.messages import LoadGrantRequest, LoadTurnEnded, LoadTurnGiven
 
 
 class Notifier(Protocol):
@@ -43,7 +43,7 @@
 
     def ask(self, engine_id: str, lora_name: str, weight: float) -> None:
         """Ask for a turn on behalf of a holder here."""
-        ask = LoadTurnAsk(engine_id, lora_name, weight)
+        ask = LoadGrantRequest(engine_id, lora_name, weight)
         if self._keeper is not None:
             tell(self._keeper, TurnAsked(self._own_id, ask))
 
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -26,7 +26,7 @@
     CatalogueAnswer,
     CatalogueQuery,
     CrashSeen,
-    LoadTurnAsk,
+    LoadGrantRequest,
     LoadTurnEnded,
     LoadTurnGiven,
     PermitRequest,
@@ -77,7 +77,7 @@
             PermitRelease: self._on_holder_notice,
             StatusNotice: self._on_status,
             RecordsNotice: self._on_records,
-            LoadTurnAsk: self._on_turn_ask,
+            LoadGrantRequest: self._on_turn_ask,
             LoadTurnGiven: self._on_turn_given,
             LoadTurnEnded: self._on_turn_ended,
             CrashSeen: self._on_crash,
@@ -133,7 +133,7 @@
             passed = CatalogueRecordsPassed(notice.first_offset, notice.values)
             tell(self._targets.catalogue, passed)
 
-    def _on_turn_ask(self, sender: str, ask: LoadTurnAsk) -> None:
+    def _on_turn_ask(self, sender: str, ask: LoadGrantRequest) -> None:
         tell(self._targets.load_turns, TurnAsked(sender, ask))
 
     def _on_turn_given(self, _: str, turn: LoadTurnGiven) -> None:
--- a/bamboovale/peers/messages.py
+++ b/bamboovale/peers/messages.py
@@ -146,7 +146,7 @@
 
 @message("load_turn_ask")
 @dataclass(frozen=True)
-class LoadTurnAsk:
+class LoadGrantRequest:
     """Ask the load scheduler for a turn at the weight store; repeated while wanted."""
 
     engine_id: str
