--- a/bamboovale/engines/holder.py
+++ b/bamboovale/engines/holder.py
@@ -41,7 +41,7 @@
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
 from bamboovale.models import AdapterVersion, WorkClass
-from bamboovale.peers.messages import LoadTurnGiven, PermitRequest, PermitReply
+from bamboovale.peers.messages import LoadGrantReply, PermitRequest, PermitReply
 
 VIEW_INTERVAL_S = 0.5
 """How often the engine's exact state is read: finds cold restarts within a second."""
@@ -61,7 +61,7 @@
         """Ask for a turn; :class:`TurnGiven` answers."""
         ...
 
-    def end(self, turn: LoadTurnGiven, *, used: bool, loaded: bool) -> None:
+    def end(self, turn: LoadGrantReply, *, used: bool, loaded: bool) -> None:
         """Give a turn back."""
         ...
 
@@ -101,7 +101,7 @@
         self._dispatch = EngineDispatch.from_config(config, policy)
         self._orders = orders
         self._load_turns = load_turns
-        self._turns: deque[LoadTurnGiven] = deque()
+        self._turns: deque[LoadGrantReply] = deque()
         self._on_hint = on_hint
         self._log_is_down = log_is_down
         self._queued_by_id: dict[str, QueuedAsk] = {}
--- a/bamboovale/engines/load_turns.py
+++ b/bamboovale/engines/load_turns.py
@@ -8,7 +8,7 @@
 from bamboovale.decisions.loads import LoadConfig, LoadScheduler, LoadTurn
 from bamboovale.environment import Environment
 from bamboovale.leases.messages import WEIGHT_STORE
-from bamboovale.peers.messages import LoadGrantRequest, LoadTurnEnded, LoadTurnGiven
+from bamboovale.peers.messages import LoadGrantRequest, LoadTurnEnded, LoadGrantReply
 from bamboovale.views import Views
 
 
@@ -51,7 +51,7 @@
         environment: Environment,
         views: Views,
         send: Callable[[str, Any], None],
-        give: Callable[[LoadTurnGiven], None],
+        give: Callable[[LoadGrantReply], None],
     ) -> None:
         super().__init__(environment.metrics.internal_faults.inc)
         settings = environment.settings
@@ -128,7 +128,7 @@
 
     def _deliver(self, turns: list[LoadTurn]) -> None:
         for turn in turns:
-            given = LoadTurnGiven(
+            given = LoadGrantReply(
                 turn.engine_id,
                 turn.lora_name,
                 self._scheduler_name,
@@ -143,7 +143,7 @@
     def _deliver_share(self, turns: list[LoadTurn]) -> None:
         for turn in turns:
             self._give(
-                LoadTurnGiven(
+                LoadGrantReply(
                     turn.engine_id,
                     turn.lora_name,
                     self._share_name,
--- a/bamboovale/engines/messages.py
+++ b/bamboovale/engines/messages.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from bamboovale.decisions.work import EngineView, Permit
-from bamboovale.peers.messages import LoadTurnGiven, PermitRequest, PermitReply
+from bamboovale.peers.messages import LoadGrantReply, PermitRequest, PermitReply
 
 
 @dataclass(frozen=True)
@@ -56,7 +56,7 @@
 class TurnGiven:
     """The load scheduler gave a turn for an adapter version."""
 
-    turn: LoadTurnGiven
+    turn: LoadGrantReply
 
 
 @dataclass(frozen=True)
--- a/bamboovale/engines/turn_routes.py
+++ b/bamboovale/engines/turn_routes.py
@@ -9,7 +9,7 @@
 from bamboovale.engines.messages import (
     TurnGiven,
 )
-from bamboovale.peers.messages import LoadGrantRequest, LoadTurnEnded, LoadTurnGiven
+from bamboovale.peers.messages import LoadGrantRequest, LoadTurnEnded, LoadGrantReply
 
 
 class Notifier(Protocol):
@@ -47,7 +47,7 @@
         if self._keeper is not None:
             tell(self._keeper, TurnAsked(self._own_id, ask))
 
-    def end(self, turn: LoadTurnGiven, *, used: bool, loaded: bool) -> None:
+    def end(self, turn: LoadGrantReply, *, used: bool, loaded: bool) -> None:
         """Give a turn back to the scheduler that gave it."""
         ended = LoadTurnEnded(turn.scheduler, turn.number, used, loaded)
         vm_id = turn.scheduler.rpartition(":")[0]
@@ -56,7 +56,7 @@
         elif self._keeper is not None:
             tell(self._keeper, TurnEnded(ended))
 
-    def give(self, turn: LoadTurnGiven) -> None:
+    def give(self, turn: LoadGrantReply) -> None:
         """Hand a turn to the holder here; back if the engine is not held here."""
         holder = self._holders.find(turn.engine_id)
         if holder is None:
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -28,7 +28,7 @@
     CrashSeen,
     LoadGrantRequest,
     LoadTurnEnded,
-    LoadTurnGiven,
+    LoadGrantReply,
     PermitRequest,
     PermitCancel,
     PermitRelease,
@@ -55,7 +55,7 @@
     permits: PermitDesk
     desk: DecisionDesk
     answers: AnswerStore
-    give_turn: Callable[[LoadTurnGiven], None]
+    give_turn: Callable[[LoadGrantReply], None]
 
 
 class PeerHandler:
@@ -78,7 +78,7 @@
             StatusNotice: self._on_status,
             RecordsNotice: self._on_records,
             LoadGrantRequest: self._on_turn_ask,
-            LoadTurnGiven: self._on_turn_given,
+            LoadGrantReply: self._on_turn_given,
             LoadTurnEnded: self._on_turn_ended,
             CrashSeen: self._on_crash,
         }
@@ -136,7 +136,7 @@
     def _on_turn_ask(self, sender: str, ask: LoadGrantRequest) -> None:
         tell(self._targets.load_turns, TurnAsked(sender, ask))
 
-    def _on_turn_given(self, _: str, turn: LoadTurnGiven) -> None:
+    def _on_turn_given(self, _: str, turn: LoadGrantReply) -> None:
         self._targets.give_turn(turn)
 
     def _on_turn_ended(self, _: str, ended: LoadTurnEnded) -> None:
--- a/bamboovale/peers/messages.py
+++ b/bamboovale/peers/messages.py
@@ -156,7 +156,7 @@
 
 @message("load_turn_given")
 @dataclass(frozen=True)
-class LoadTurnGiven:
+class LoadGrantReply:
     """A turn of one scheduler; ``scheduler`` and ``number`` together name it."""
 
     engine_id: str
