--- a/bamboovale/engines/load_turns.py
+++ b/bamboovale/engines/load_turns.py
@@ -8,7 +8,7 @@
 from bamboovale.decisions.loads import LoadConfig, LoadScheduler, LoadTurn
 from bamboovale.environment import Environment
 from bamboovale.leases.messages import WEIGHT_STORE
-from bamboovale.peers.messages import LoadGrantRequest, LoadTurnEnded, LoadGrantReply
+from bamboovale.peers.messages import LoadGrantRequest, LoadGrantRelease, LoadGrantReply
 from bamboovale.views import Views
 
 
@@ -24,7 +24,7 @@
 class TurnEnded:
     """A turn is over."""
 
-    ended: LoadTurnEnded
+    ended: LoadGrantRelease
 
 
 @dataclass(frozen=True)
@@ -161,7 +161,9 @@
         }
 
 
-def _end(scheduler: LoadScheduler, ended: LoadTurnEnded, now: float) -> list[LoadTurn]:
+def _end(
+    scheduler: LoadScheduler, ended: LoadGrantRelease, now: float
+) -> list[LoadTurn]:
     if ended.used:
         return scheduler.on_done(ended.number, now, loaded=ended.loaded)
     return scheduler.on_returned(ended.number, now)
--- a/bamboovale/engines/turn_routes.py
+++ b/bamboovale/engines/turn_routes.py
@@ -9,7 +9,7 @@
 from bamboovale.engines.messages import (
     TurnGiven,
 )
-from bamboovale.peers.messages import LoadGrantRequest, LoadTurnEnded, LoadGrantReply
+from bamboovale.peers.messages import LoadGrantRequest, LoadGrantRelease, LoadGrantReply
 
 
 class Notifier(Protocol):
@@ -49,7 +49,7 @@
 
     def end(self, turn: LoadGrantReply, *, used: bool, loaded: bool) -> None:
         """Give a turn back to the scheduler that gave it."""
-        ended = LoadTurnEnded(turn.scheduler, turn.number, used, loaded)
+        ended = LoadGrantRelease(turn.scheduler, turn.number, used, loaded)
         vm_id = turn.scheduler.rpartition(":")[0]
         if vm_id != self._own_id:
             self._links.notify(vm_id, ended)
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -27,7 +27,7 @@
     CatalogueQuery,
     CrashSeen,
     LoadGrantRequest,
-    LoadTurnEnded,
+    LoadGrantRelease,
     LoadGrantReply,
     PermitRequest,
     PermitCancel,
@@ -79,7 +79,7 @@
             RecordsNotice: self._on_records,
             LoadGrantRequest: self._on_turn_ask,
             LoadGrantReply: self._on_turn_given,
-            LoadTurnEnded: self._on_turn_ended,
+            LoadGrantRelease: self._on_turn_ended,
             CrashSeen: self._on_crash,
         }
 
@@ -139,7 +139,7 @@
     def _on_turn_given(self, _: str, turn: LoadGrantReply) -> None:
         self._targets.give_turn(turn)
 
-    def _on_turn_ended(self, _: str, ended: LoadTurnEnded) -> None:
+    def _on_turn_ended(self, _: str, ended: LoadGrantRelease) -> None:
         tell(self._targets.load_turns, TurnEnded(ended))
 
     def _on_crash(self, _: str, seen: CrashSeen) -> None:
--- a/bamboovale/peers/messages.py
+++ b/bamboovale/peers/messages.py
@@ -167,7 +167,7 @@
 
 @message("load_turn_ended")
 @dataclass(frozen=True)
-class LoadTurnEnded:
+class LoadGrantRelease:
     """The turn is over; unless ``used``, the store served nothing for it."""
 
     scheduler: str
