--- a/bamboovale/fleet/gossip.py
+++ b/bamboovale/fleet/gossip.py
@@ -56,7 +56,7 @@
 """In place of a number of changes: the first message, which tells of us."""
 
 
-class Endpoints(Protocol):
+class EndpointsTopic(Protocol):
     """The endpoints' topic of this VM."""
 
     changes: TopicChanges
@@ -91,7 +91,7 @@
         self,
         membership: Membership,
         changes: ChangeLog[Change],
-        endpoints: Endpoints,
+        endpoints: EndpointsTopic,
         rng: random.Random,
         now: float,
         on_suspect: Callable[[SuspectRequest], None] = lambda suspect: None,
