--- a/bamboovale/fleet/gossip.py
+++ b/bamboovale/fleet/gossip.py
@@ -61,7 +61,7 @@
 
     changes: TopicChanges
 
-    def take(
+    def apply_rows(
         self, first_offset: int, next_offset: int, rows: Iterable[TopicRow]
     ) -> None:
         """Take what a neighbour knows of the topic, if nothing before it is missing."""
@@ -195,7 +195,7 @@
     def _take_rows(self, neighbour: Neighbour, gossip: Gossip, now: float) -> None:
         if gossip.next_offset < 0:
             return
-        self._endpoints.take(gossip.first_offset, gossip.next_offset, gossip.rows)
+        self._endpoints.apply_rows(gossip.first_offset, gossip.next_offset, gossip.rows)
         was_missed = now - neighbour.rows_sent_at > CHAIN_REPAIR_S
         if gossip.next_offset > neighbour.told_offset or was_missed:
             neighbour.told_offset = gossip.next_offset
--- a/bamboovale/gateway/followers.py
+++ b/bamboovale/gateway/followers.py
@@ -144,7 +144,7 @@
         if rows:
             self._on_changed()
 
-    def take(
+    def apply_rows(
         self, first_offset: int, next_offset: int, rows: Iterable[TopicRow]
     ) -> None:
         """Take what another VM knows, if nothing is missing before it.
--- a/tests/fleet_play.py
+++ b/tests/fleet_play.py
@@ -27,7 +27,7 @@
         self.changes = TopicChanges()
         self.value_by_key: dict[str, bytes | None] = {}
 
-    def take(
+    def apply_rows(
         self, first_offset: int, next_offset: int, rows: Iterable[TopicRow]
     ) -> None:
         """Take rows if nothing before them is missing."""
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -760,8 +760,8 @@
             waiting = follower(store, seen, reads=False)
             task = asyncio.create_task(waiting.follow())
             await asyncio.sleep(0.05)
-            waiting.take(10, 13, (("e", b"{}", 11),))
-            waiting.take(10, 12, (("e", b"{}", 11),))
+            waiting.apply_rows(10, 13, (("e", b"{}", 11),))
+            waiting.apply_rows(10, 12, (("e", b"{}", 11),))
             task.cancel()
             assert (store.reads, seen) == (0, [11])
 
@@ -778,7 +778,7 @@
             waiting = follower(ScriptedStore(), seen, reads=False)
             task = asyncio.create_task(waiting.follow())
             await asyncio.sleep(0.05)
-            waiting.take(20, 22, (("e", b"{}", 21),))
+            waiting.apply_rows(20, 22, (("e", b"{}", 21),))
             task.cancel()
             assert seen == []
 
@@ -811,7 +811,7 @@
             )
             task = asyncio.create_task(reader.follow())
             await asyncio.sleep(0.05)
-            reader.take(10, 11, (("e", b"{}", 10),))
+            reader.apply_rows(10, 11, (("e", b"{}", 10),))
             store.go.set()
             await asyncio.sleep(0.05)
             task.cancel()
