--- a/bamboovale/peers/doorway.py
+++ b/bamboovale/peers/doorway.py
@@ -24,7 +24,7 @@
 AddressOf = Callable[[str], tuple[str, int] | None]
 
 
-class Doorway:
+class Authenticator:
     """Knows who we are and the shared key; without a key, only loopback passes."""
 
     def __init__(
--- a/bamboovale/peers/links.py
+++ b/bamboovale/peers/links.py
@@ -20,7 +20,7 @@
 from bamboovale.metrics import Metrics
 from bamboovale.peers.channel import HANDSHAKE_TIMEOUT_S, LIBRARY_LOGGER, Channel
 from bamboovale.peers.codec import MAX_FRAME_BYTES
-from bamboovale.peers.doorway import AddressOf, Doorway
+from bamboovale.peers.doorway import AddressOf, Authenticator
 from bamboovale.peers.frames import FrameKind, encode_frame
 from bamboovale.peers.handshake import MAX_HANDSHAKE_BYTES
 from bamboovale.peers.incoming import IncomingLink, NoticeHandler, RequestHandler
@@ -72,7 +72,7 @@
     ) -> None:
         self._address = address
         self._port = port
-        self._doorway = Doorway(own_id, address, key, address_of, metrics)
+        self._doorway = Authenticator(own_id, address, key, address_of, metrics)
         self._metrics = metrics
         self._numbers = itertools.count(1)
         self._link_by_vm_id: dict[str, OutgoingLink] = {}
