--- a/bamboovale/engines/holder.py
+++ b/bamboovale/engines/holder.py
@@ -41,7 +41,7 @@
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
 from bamboovale.models import AdapterVersion, WorkClass
-from bamboovale.peers.messages import LoadGrantReply, PermitRequest, PermitReply
+from bamboovale.peers.messages import LoadGrantReply, PermitReply, PermitRequest
 
 VIEW_INTERVAL_S = 0.5
 """How often the engine's exact state is read: finds cold restarts within a second."""
--- a/bamboovale/engines/load_turns.py
+++ b/bamboovale/engines/load_turns.py
@@ -8,7 +8,7 @@
 from bamboovale.decisions.loads import LoadConfig, LoadScheduler, LoadTurn
 from bamboovale.environment import Environment
 from bamboovale.leases.messages import WEIGHT_STORE
-from bamboovale.peers.messages import LoadGrantRequest, LoadGrantRelease, LoadGrantReply
+from bamboovale.peers.messages import LoadGrantRelease, LoadGrantReply, LoadGrantRequest
 from bamboovale.views import Views
 
 
--- a/bamboovale/engines/messages.py
+++ b/bamboovale/engines/messages.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from bamboovale.decisions.work import EngineView, Permit
-from bamboovale.peers.messages import LoadGrantReply, PermitRequest, PermitReply
+from bamboovale.peers.messages import LoadGrantReply, PermitReply, PermitRequest
 
 
 @dataclass(frozen=True)
--- a/bamboovale/engines/turn_routes.py
+++ b/bamboovale/engines/turn_routes.py
@@ -9,7 +9,7 @@
 from bamboovale.engines.messages import (
     TurnGiven,
 )
-from bamboovale.peers.messages import LoadGrantRequest, LoadGrantRelease, LoadGrantReply
+from bamboovale.peers.messages import LoadGrantRelease, LoadGrantReply, LoadGrantRequest
 
 
 class Notifier(Protocol):
--- a/bamboovale/entry/holder_links.py
+++ b/bamboovale/entry/holder_links.py
@@ -13,10 +13,10 @@
 from bamboovale.errors import ErrorCode
 from bamboovale.peers.links import PeerLinks
 from bamboovale.peers.messages import (
-    PermitRequest,
     PermitCancel,
     PermitRelease,
     PermitReply,
+    PermitRequest,
 )
 from bamboovale.views import Views
 
--- a/bamboovale/entry/permits.py
+++ b/bamboovale/entry/permits.py
@@ -16,10 +16,10 @@
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
 from bamboovale.peers.messages import (
-    PermitRequest,
     PermitCancel,
     PermitRelease,
     PermitReply,
+    PermitRequest,
 )
 
 ASKS_PER_SEND_WITHIN = 3
--- a/bamboovale/fleet/gossip.py
+++ b/bamboovale/fleet/gossip.py
@@ -21,8 +21,8 @@
     Gossip,
     Member,
     SuspectRequest,
-    TopicRow,
     Suspicion,
+    TopicRow,
 )
 from bamboovale.fleet.neighbours import NEVER, SLACK_S, Neighbour, Neighbours
 from bamboovale.fleet.rings import ALL_LINKED_UP_TO
--- a/bamboovale/peers/links.py
+++ b/bamboovale/peers/links.py
@@ -18,9 +18,9 @@
 from websockets.asyncio.server import Server, ServerConnection, serve
 
 from bamboovale.metrics import Metrics
+from bamboovale.peers.authentication import AddressOf, Authenticator
 from bamboovale.peers.channel import HANDSHAKE_TIMEOUT_S, LIBRARY_LOGGER, Channel
 from bamboovale.peers.codec import MAX_FRAME_BYTES
-from bamboovale.peers.doorway import AddressOf, Authenticator
 from bamboovale.peers.frames import FrameKind, encode_frame
 from bamboovale.peers.handshake import MAX_HANDSHAKE_BYTES
 from bamboovale.peers.incoming import IncomingLink, NoticeHandler, RequestHandler
--- a/tests/test_engine_holder.py
+++ b/tests/test_engine_holder.py
@@ -15,7 +15,7 @@
 from bamboovale.engines.messages import AskReceived, ViewRead
 from bamboovale.environment import Environment
 from bamboovale.metrics import Metrics
-from bamboovale.peers.messages import PermitRequest, PermitReply
+from bamboovale.peers.messages import PermitReply, PermitRequest
 from bamboovale.settings import Settings
 
 
--- a/tests/test_entry_permits.py
+++ b/tests/test_entry_permits.py
@@ -20,10 +20,10 @@
 from bamboovale.metrics import Metrics
 from bamboovale.models import AdapterVersion, WorkClass
 from bamboovale.peers.messages import (
-    PermitRequest,
     PermitCancel,
     PermitRelease,
     PermitReply,
+    PermitRequest,
 )
 from bamboovale.settings import Settings
 
