--- a/bamboovale/peers/links.py
+++ b/bamboovale/peers/links.py
@@ -72,7 +72,7 @@
     ) -> None:
         self._address = address
         self._port = port
-        self._doorway = Authenticator(own_id, address, key, address_of, metrics)
+        self._authenticator = Authenticator(own_id, address, key, address_of, metrics)
         self._metrics = metrics
         self._numbers = itertools.count(1)
         self._link_by_vm_id: dict[str, OutgoingLink] = {}
@@ -204,7 +204,7 @@
         if link is None:
 
             def open_channel() -> Coroutine[Any, Any, Channel]:
-                return self._doorway.open_channel(vm_id)
+                return self._authenticator.open_channel(vm_id)
 
             def take_notice(message: Any) -> None:
                 self._on_notice(vm_id, message)
@@ -278,7 +278,7 @@
         on_notice: NoticeHandler,
     ) -> None:
         """Let a peer prove who it is, then serve it."""
-        sender = await self._doorway.let_in(connection)
+        sender = await self._authenticator.accept(connection)
         if sender is None:
             self._metrics.peer_links_closed.labels("unproved").inc()
             connection.transport.abort()
--- a/tests/test_peer_links.py
+++ b/tests/test_peer_links.py
@@ -329,7 +329,7 @@
 
     def test_without_a_key_only_loopback_is_called(self, ports) -> None:
         a = Node("a", ports, key="")
-        a.links._doorway._address_of = lambda vm_id: ("192.0.2.1", 9)
+        a.links._authenticator._address_of = lambda vm_id: ("192.0.2.1", 9)
         with running(a), pytest.raises(PeerUnreachableError, match="loopback"):
             a.ask("b", "x")
 
