--- a/bamboovale/peers/keepalive.py
+++ b/bamboovale/peers/keepalive.py
@@ -26,7 +26,7 @@
 CALLED_SILENCE_S = IDLE_PING_INTERVAL_S + 2 * PING_TIMEOUT_S
 
 
-class Check(Enum):
+class KeepaliveAction(Enum):
     """What a look at the link asks for."""
 
     NOTHING = auto()
@@ -48,7 +48,9 @@
             self.round_trip_s = now - self._unanswered_since
             self._unanswered_since = None
 
-    def check(self, now: float, *, awaiting_reply: bool, overslept_s: float) -> Check:
+    def check(
+        self, now: float, *, awaiting_reply: bool, overslept_s: float
+    ) -> KeepaliveAction:
         """Return what to do now; ``overslept_s`` is how much too late the look is.
 
         A pause of our own process is not the peer's silence: its answer may lie in
@@ -57,10 +59,10 @@
         if self._unanswered_since is not None:
             self._unanswered_since += overslept_s
             silent = now - self._unanswered_since > PING_TIMEOUT_S
-            return Check.SILENT if silent else Check.NOTHING
+            return KeepaliveAction.SILENT if silent else KeepaliveAction.NOTHING
         interval = PING_INTERVAL_S if awaiting_reply else IDLE_PING_INTERVAL_S
         if now - self._last_ping_at < interval:
-            return Check.NOTHING
+            return KeepaliveAction.NOTHING
         self._last_ping_at = now
         self._unanswered_since = now
-        return Check.PING
+        return KeepaliveAction.PING
--- a/bamboovale/peers/outgoing.py
+++ b/bamboovale/peers/outgoing.py
@@ -17,7 +17,7 @@
 from bamboovale.peers.channel import QUEUE_LIMIT, Channel
 from bamboovale.peers.codec import BadMessageError
 from bamboovale.peers.frames import PING, Frame, FrameKind, decode_frame
-from bamboovale.peers.keepalive import Check, Keepalive
+from bamboovale.peers.keepalive import KeepaliveAction, Keepalive
 
 # The first pause is shorter than a restart, the last one shorter than a lease.
 BACK_OFF_FIRST_S = 0.05
@@ -154,9 +154,9 @@
             awaiting_reply=bool(self._sent_by_number),
             overslept_s=overslept_s,
         )
-        if check is Check.PING:
+        if check is KeepaliveAction.PING:
             self._enqueue(Outbound(0, PING))
-        elif check is Check.SILENT:
+        elif check is KeepaliveAction.SILENT:
             self._channel.abort("silent")
 
     def abort(self) -> None:
--- a/tests/test_peer_links.py
+++ b/tests/test_peer_links.py
@@ -21,7 +21,7 @@
     IDLE_PING_INTERVAL_S,
     PING_INTERVAL_S,
     PING_TIMEOUT_S,
-    Check,
+    KeepaliveAction,
     Keepalive,
 )
 from bamboovale.peers.links import PeerLinks
@@ -186,24 +186,26 @@
 class TestKeepalive:
     """When a peer is pinged and when it counts as silent."""
 
-    def check(self, keepalive: Keepalive, now: float, overslept_s: float = 0) -> Check:
+    def check(
+        self, keepalive: Keepalive, now: float, overslept_s: float = 0
+    ) -> KeepaliveAction:
         return keepalive.check(now, awaiting_reply=True, overslept_s=overslept_s)
 
     def test_a_peer_that_owes_a_reply_is_pinged_soon_and_others_seldom(self) -> None:
         keepalive = Keepalive(0.0)
         idle = {"awaiting_reply": False, "overslept_s": 0.0}
-        assert keepalive.check(PING_INTERVAL_S, **idle) is Check.NOTHING
-        assert keepalive.check(IDLE_PING_INTERVAL_S, **idle) is Check.PING
+        assert keepalive.check(PING_INTERVAL_S, **idle) is KeepaliveAction.NOTHING
+        assert keepalive.check(IDLE_PING_INTERVAL_S, **idle) is KeepaliveAction.PING
         keepalive.note_received(IDLE_PING_INTERVAL_S + 0.1)
         soon = IDLE_PING_INTERVAL_S + PING_INTERVAL_S
-        assert self.check(keepalive, soon) is Check.PING
+        assert self.check(keepalive, soon) is KeepaliveAction.PING
         assert keepalive.round_trip_s == pytest.approx(0.1)
 
     def test_an_unanswered_ping_means_silence(self) -> None:
         keepalive = Keepalive(0.0)
-        assert self.check(keepalive, 1.0) is Check.PING
-        assert self.check(keepalive, 1.0 + PING_TIMEOUT_S) is Check.NOTHING
-        assert self.check(keepalive, 1.1 + PING_TIMEOUT_S) is Check.SILENT
+        assert self.check(keepalive, 1.0) is KeepaliveAction.PING
+        assert self.check(keepalive, 1.0 + PING_TIMEOUT_S) is KeepaliveAction.NOTHING
+        assert self.check(keepalive, 1.1 + PING_TIMEOUT_S) is KeepaliveAction.SILENT
 
     def test_our_own_pause_is_not_the_peers_silence(self) -> None:
         """Our process is frozen for five seconds right after a ping.
@@ -212,9 +214,9 @@
         link would be cut at once, and requests would end with an unknown outcome.
         """
         keepalive = Keepalive(0.0)
-        assert self.check(keepalive, 1.0) is Check.PING
-        assert self.check(keepalive, 6.25, overslept_s=5.0) is Check.NOTHING
-        assert self.check(keepalive, 7.5) is Check.SILENT
+        assert self.check(keepalive, 1.0) is KeepaliveAction.PING
+        assert self.check(keepalive, 6.25, overslept_s=5.0) is KeepaliveAction.NOTHING
+        assert self.check(keepalive, 7.5) is KeepaliveAction.SILENT
 
 
 class TestMessages:
