--- a/bamboovale/peers/authentication.py
+++ b/bamboovale/peers/authentication.py
@@ -15,7 +15,7 @@
     is_loopback,
 )
 from bamboovale.peers.codec import MAX_FRAME_BYTES, BadMessageError
-from bamboovale.peers.handshake import HandshakeError, introduce, receive
+from bamboovale.peers.handshake import HandshakeError, authenticate_as_caller, receive
 from bamboovale.peers.outgoing import PeerUnreachableError
 
 # Strangers may hold this many unproved connections open; each for a second.
@@ -66,7 +66,9 @@
                     local_addr=(self._address, 0),
                 )
                 try:
-                    await introduce(connection, self._own_id, vm_id, self._key)
+                    await authenticate_as_caller(
+                        connection, self._own_id, vm_id, self._key
+                    )
                 except BaseException:
                     connection.transport.abort()
                     raise
--- a/bamboovale/peers/handshake.py
+++ b/bamboovale/peers/handshake.py
@@ -71,7 +71,9 @@
     """Ends the handshake: the called side takes messages from here on."""
 
 
-async def introduce(channel: Channel, own_id: str, peer_id: str, key: str) -> None:
+async def authenticate_as_caller(
+    channel: Channel, own_id: str, peer_id: str, key: str
+) -> None:
     """Prove ourselves as the caller and check the called side's proof.
 
     Raises HandshakeError if the other side is another VM or has another key.
