--- a/bamboovale/peers/authentication.py
+++ b/bamboovale/peers/authentication.py
@@ -15,7 +15,11 @@
     is_loopback,
 )
 from bamboovale.peers.codec import MAX_FRAME_BYTES, BadMessageError
-from bamboovale.peers.handshake import HandshakeError, authenticate_as_caller, receive
+from bamboovale.peers.handshake import (
+    HandshakeError,
+    authenticate_as_caller,
+    authenticate_as_called,
+)
 from bamboovale.peers.outgoing import PeerUnreachableError
 
 # Strangers may hold this many unproved connections open; each for a second.
@@ -94,7 +98,7 @@
         self._unproved += 1
         try:
             async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
-                return await receive(connection, self._own_id, self._key)
+                return await authenticate_as_called(connection, self._own_id, self._key)
         except (TimeoutError, HandshakeError, ConnectionClosed):
             return None
         except BadMessageError:
--- a/bamboovale/peers/handshake.py
+++ b/bamboovale/peers/handshake.py
@@ -88,7 +88,7 @@
     await _receive(channel, Welcome)
 
 
-async def receive(channel: Channel, own_id: str, key: str) -> str:
+async def authenticate_as_called(channel: Channel, own_id: str, key: str) -> str:
     """Prove ourselves as the called side; return the caller's VM id.
 
     Raises HandshakeError if the caller meant another VM or has another key.
