--- a/bamboovale/entry/peer_exchange.py
+++ b/bamboovale/entry/peer_exchange.py
@@ -20,7 +20,7 @@
     AnswerKept,
     AnswerQuery,
     CatalogueQuery,
-    CrashNotice,
+    CrashSeen,
     PermitsHeld,
     PermitsQuery,
     RecordsNotice,
@@ -86,7 +86,7 @@
         append: Callable[[dict[str, Any]], None],
     ) -> None:
         """Tell all peers at once, and the log for VMs that start later."""
-        seen = CrashNotice(
+        seen = CrashSeen(
             fingerprint=notice.fingerprint,
             endpoint_id=notice.endpoint_id,
             boot_id=notice.boot_id,
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -25,7 +25,7 @@
     AnswerQuery,
     CatalogueAnswer,
     CatalogueQuery,
-    CrashNotice,
+    CrashSeen,
     LoadGrantRelease,
     LoadGrantReply,
     LoadGrantRequest,
@@ -80,7 +80,7 @@
             LoadGrantRequest: self._on_turn_ask,
             LoadGrantReply: self._on_turn_given,
             LoadGrantRelease: self._on_turn_ended,
-            CrashNotice: self._on_crash,
+            CrashSeen: self._on_crash,
         }
 
     def on_request(self, sender: str, message: Any, reply: Reply) -> None:
@@ -142,7 +142,7 @@
     def _on_turn_ended(self, _: str, ended: LoadGrantRelease) -> None:
         tell(self._targets.load_turns, TurnEnded(ended))
 
-    def _on_crash(self, _: str, seen: CrashNotice) -> None:
+    def _on_crash(self, _: str, seen: CrashSeen) -> None:
         self._targets.desk.on_crash(
             CrashNotice(seen.fingerprint, seen.endpoint_id, seen.boot_id, seen.alone)
         )
--- a/bamboovale/peers/messages.py
+++ b/bamboovale/peers/messages.py
@@ -198,7 +198,7 @@
 
 @message("crash_seen")
 @dataclass(frozen=True)
-class CrashNotice:
+class CrashSeen:
     """A request that was running when its endpoint crashed (``decisions.suspects``)."""
 
     fingerprint: str
