--- a/bamboovale/fleet/neighbours.py
+++ b/bamboovale/fleet/neighbours.py
@@ -25,7 +25,7 @@
 """Intervals without a sign of life after which a neighbour counts as silent."""
 SLACK_S = 0.2
 """Added to these: a message that crosses a slow link or waits for a busy loop."""
-OVERSLEPT_S = 0.3
+MAX_LAG_S = 0.3
 """Lateness of our own looks that is not held against the neighbours: their messages
 may lie unread in our sockets."""
 WORDS_BEFORE_BLOCK = 2
@@ -217,9 +217,9 @@
 
     def _watch(self, now: float) -> None:
         """Give our word against watched neighbours that have fallen silent."""
-        overslept_s = now - self._looked_at - self.interval_s()
+        lag_s = now - self._looked_at - self.interval_s()
         self._looked_at = now
-        if overslept_s > OVERSLEPT_S:
+        if lag_s > MAX_LAG_S:
             for neighbour in self.by_id.values():
                 neighbour.awaited_from = now - self.interval_s()
         last = now - self.silent_after_s()
--- a/bamboovale/peers/authentication.py
+++ b/bamboovale/peers/authentication.py
@@ -17,8 +17,8 @@
 from bamboovale.peers.codec import MAX_FRAME_BYTES, BadMessageError
 from bamboovale.peers.handshake import (
     HandshakeError,
-    authenticate_as_caller,
     authenticate_as_called,
+    authenticate_as_caller,
 )
 from bamboovale.peers.outgoing import PeerUnreachableError
 
@@ -84,7 +84,7 @@
             raise PeerUnreachableError(str(error)) from error
         return Channel(connection, self._metrics)
 
-    async def let_in(self, connection: ServerConnection) -> str | None:
+    async def accept(self, connection: ServerConnection) -> str | None:
         """Return the VM id of the other side, or None if it is not let in.
 
         Guards against strangers who open connections and say nothing: each is held
--- a/bamboovale/peers/incoming.py
+++ b/bamboovale/peers/incoming.py
@@ -60,13 +60,13 @@
             cause = self._channel.close_cause
             self._metrics.peer_links_closed.labels(cause).inc()
 
-    def check(self, overslept_s: float) -> None:
+    def check(self, lag_s: float) -> None:
         """Cut the link if its peer, which pings, has been silent for too long.
 
         Guards against keeping the memory of links whose peer vanished without a
         reset; requests of ours do not go over this link.
         """
-        self._last_received_at += overslept_s
+        self._last_received_at += lag_s
         if self._loop.time() - self._last_received_at > CALLED_SILENCE_S:
             self._channel.abort("silent")
 
--- a/bamboovale/peers/keepalive.py
+++ b/bamboovale/peers/keepalive.py
@@ -49,15 +49,15 @@
             self._unanswered_since = None
 
     def check(
-        self, now: float, *, awaiting_reply: bool, overslept_s: float
+        self, now: float, *, awaiting_reply: bool, lag_s: float
     ) -> KeepaliveAction:
-        """Return what to do now; ``overslept_s`` is how much too late the look is.
+        """Return what to do now; ``lag_s`` is how much too late the look is.
 
         A pause of our own process is not the peer's silence: its answer may lie in
         our socket unread, so the time that we slept is not counted.
         """
         if self._unanswered_since is not None:
-            self._unanswered_since += overslept_s
+            self._unanswered_since += lag_s
             silent = now - self._unanswered_since > PING_TIMEOUT_S
             return KeepaliveAction.SILENT if silent else KeepaliveAction.NOTHING
         interval = PING_INTERVAL_S if awaiting_reply else IDLE_PING_INTERVAL_S
--- a/bamboovale/peers/links.py
+++ b/bamboovale/peers/links.py
@@ -313,12 +313,12 @@
         looked_at = loop.time()
         while True:
             await asyncio.sleep(SWEEP_S)
-            overslept_s = max(0.0, loop.time() - looked_at - 2 * SWEEP_S)
+            lag_s = max(0.0, loop.time() - looked_at - 2 * SWEEP_S)
             looked_at = loop.time()
             for incoming in list(self._incoming):
-                incoming.check(overslept_s)
+                incoming.check(lag_s)
             for vm_id, link in list(self._link_by_vm_id.items()):
-                link.check(overslept_s)
+                link.check(lag_s)
                 unused_s = looked_at - link.last_used
                 if unused_s > IDLE_CLOSE_S and not link.awaiting_reply:
                     del self._link_by_vm_id[vm_id]
--- a/bamboovale/peers/outgoing.py
+++ b/bamboovale/peers/outgoing.py
@@ -17,7 +17,7 @@
 from bamboovale.peers.channel import QUEUE_LIMIT, Channel
 from bamboovale.peers.codec import BadMessageError
 from bamboovale.peers.frames import PING, Frame, FrameKind, decode_frame
-from bamboovale.peers.keepalive import KeepaliveAction, Keepalive
+from bamboovale.peers.keepalive import Keepalive, KeepaliveAction
 
 # The first pause is shorter than a restart, the last one shorter than a lease.
 BACK_OFF_FIRST_S = 0.05
@@ -145,14 +145,14 @@
         if self._task is None:
             self._task = self._loop.create_task(self._run())
 
-    def check(self, overslept_s: float) -> None:
+    def check(self, lag_s: float) -> None:
         """Ping the peer if that is due, or cut the link to a silent one."""
         if self._channel is None:
             return
         check = self._keepalive.check(
             self._loop.time(),
             awaiting_reply=bool(self._sent_by_number),
-            overslept_s=overslept_s,
+            lag_s=lag_s,
         )
         if check is KeepaliveAction.PING:
             self._enqueue(Outbound(0, PING))
--- a/tests/test_peer_links.py
+++ b/tests/test_peer_links.py
@@ -21,8 +21,8 @@
     IDLE_PING_INTERVAL_S,
     PING_INTERVAL_S,
     PING_TIMEOUT_S,
-    KeepaliveAction,
     Keepalive,
+    KeepaliveAction,
 )
 from bamboovale.peers.links import PeerLinks
 from bamboovale.peers.outgoing import (
@@ -187,13 +187,13 @@
     """When a peer is pinged and when it counts as silent."""
 
     def check(
-        self, keepalive: Keepalive, now: float, overslept_s: float = 0
+        self, keepalive: Keepalive, now: float, lag_s: float = 0
     ) -> KeepaliveAction:
-        return keepalive.check(now, awaiting_reply=True, overslept_s=overslept_s)
+        return keepalive.check(now, awaiting_reply=True, lag_s=lag_s)
 
     def test_a_peer_that_owes_a_reply_is_pinged_soon_and_others_seldom(self) -> None:
         keepalive = Keepalive(0.0)
-        idle = {"awaiting_reply": False, "overslept_s": 0.0}
+        idle = {"awaiting_reply": False, "lag_s": 0.0}
         assert keepalive.check(PING_INTERVAL_S, **idle) is KeepaliveAction.NOTHING
         assert keepalive.check(IDLE_PING_INTERVAL_S, **idle) is KeepaliveAction.PING
         keepalive.note_received(IDLE_PING_INTERVAL_S + 0.1)
@@ -215,7 +215,7 @@
         """
         keepalive = Keepalive(0.0)
         assert self.check(keepalive, 1.0) is KeepaliveAction.PING
-        assert self.check(keepalive, 6.25, overslept_s=5.0) is KeepaliveAction.NOTHING
+        assert self.check(keepalive, 6.25, lag_s=5.0) is KeepaliveAction.NOTHING
         assert self.check(keepalive, 7.5) is KeepaliveAction.SILENT
 
 
