--- a/bamboovale/fleet/neighbours.py
+++ b/bamboovale/fleet/neighbours.py
@@ -113,7 +113,7 @@
     def on_message(self, vm_id: str, now: float) -> Neighbour:
         """Note that a VM has just sent us something; return it."""
         neighbour = self.get(vm_id, now)
-        neighbour.heard_at = now
+        neighbour.last_seen_at = now
         neighbour.cut = False
         self._words_by_id.pop(vm_id, None)
         self._blocked_until.pop(vm_id, None)
@@ -123,7 +123,7 @@
     def reachable_and_silent(self, now: float) -> tuple[set[str], set[str]]:
         """Return the VMs heard of late, and those that we do not hear."""
         last = now - self.silent_after_s()
-        heard = {v for v, n in self.by_id.items() if n.heard_at >= last}
+        heard = {v for v, n in self.by_id.items() if n.last_seen_at >= last}
         return heard, set(self._membership.not_live()) - heard
 
     def next_look_at(self, now: float) -> float:
@@ -185,7 +185,7 @@
         while self._silent_at and self._silent_at[0] < first:
             self._silent_at.popleft()
         silent = len(self._silent_at)
-        heard = sum(n.heard_at >= first for n in self.by_id.values())
+        heard = sum(n.last_seen_at >= first for n in self.by_id.values())
         return WIDTHS[(silent > 1) + (silent > heard)]
 
     def _drop_strangers(self, chosen: set[str], now: float) -> None:
