--- a/bamboovale/engines/load_turns.py
+++ b/bamboovale/engines/load_turns.py
@@ -8,7 +8,7 @@
 from bamboovale.decisions.load_scheduler import LoadConfig, LoadScheduler, LoadGrant
 from bamboovale.environment import Environment
 from bamboovale.leases.messages import WEIGHT_STORE
-from bamboovale.peers.messages import LoadTurnAsk, LoadTurnEnded, LoadTurnGiven
+from bamboovale.peers.messages import LoadGrantRelease, LoadGrantReply, LoadGrantRequest
 from bamboovale.views import Views
 
 
@@ -17,14 +17,14 @@
     """A holder, here or on the VM named, wants a turn."""
 
     from_vm: str
-    ask: LoadTurnAsk
+    ask: LoadGrantRequest
 
 
 @dataclass(frozen=True)
 class TurnEnded:
     """A turn is over."""
 
-    ended: LoadTurnEnded
+    ended: LoadGrantRelease
 
 
 @dataclass(frozen=True)
@@ -51,7 +51,7 @@
         environment: Environment,
         views: Views,
         send: Callable[[str, Any], None],
-        give: Callable[[LoadTurnGiven], None],
+        give: Callable[[LoadGrantReply], None],
     ) -> None:
         super().__init__(environment.metrics.internal_faults.inc)
         settings = environment.settings
@@ -96,7 +96,7 @@
         elif message.from_vm == self._own_id:
             self._ask_elsewhere(ask, now)
 
-    def _ask_elsewhere(self, ask: LoadTurnAsk, now: float) -> None:
+    def _ask_elsewhere(self, ask: LoadGrantRequest, now: float) -> None:
         scheduler = self._views.holder_of(WEIGHT_STORE)
         usable = {vm.id for vm in self._views.membership.usable_entry_vms()}
         if scheduler in usable and scheduler != self._own_id:
@@ -128,7 +128,7 @@
 
     def _deliver(self, turns: list[LoadGrant]) -> None:
         for turn in turns:
-            given = LoadTurnGiven(
+            given = LoadGrantReply(
                 turn.engine_id,
                 turn.lora_name,
                 self._scheduler_name,
@@ -143,7 +143,7 @@
     def _deliver_share(self, turns: list[LoadGrant]) -> None:
         for turn in turns:
             self._give(
-                LoadTurnGiven(
+                LoadGrantReply(
                     turn.engine_id,
                     turn.lora_name,
                     self._share_name,
@@ -161,7 +161,9 @@
         }
 
 
-def _end(scheduler: LoadScheduler, ended: LoadTurnEnded, now: float) -> list[LoadGrant]:
+def _end(
+    scheduler: LoadScheduler, ended: LoadGrantRelease, now: float
+) -> list[LoadGrant]:
     if ended.used:
         return scheduler.on_done(ended.number, now, loaded=ended.loaded)
     return scheduler.on_returned(ended.number, now)
--- a/bamboovale/engines/turn_routes.py
+++ b/bamboovale/engines/turn_routes.py
@@ -9,7 +9,7 @@
 from bamboovale.engines.messages import (
     TurnGiven,
 )
-from bamboovale.peers.messages import LoadTurnAsk, LoadTurnEnded, LoadTurnGiven
+from bamboovale.peers.messages import LoadGrantRelease, LoadGrantReply, LoadGrantRequest
 
 
 class Notifier(Protocol):
@@ -43,20 +43,20 @@
 
     def ask(self, engine_id: str, lora_name: str, weight: float) -> None:
         """Ask for a turn on behalf of a holder here."""
-        ask = LoadTurnAsk(engine_id, lora_name, weight)
+        ask = LoadGrantRequest(engine_id, lora_name, weight)
         if self._keeper is not None:
             tell(self._keeper, TurnAsked(self._own_id, ask))
 
-    def end(self, turn: LoadTurnGiven, *, used: bool, loaded: bool) -> None:
+    def end(self, turn: LoadGrantReply, *, used: bool, loaded: bool) -> None:
         """Give a turn back to the scheduler that gave it."""
-        ended = LoadTurnEnded(turn.scheduler, turn.number, used, loaded)
+        ended = LoadGrantRelease(turn.scheduler, turn.number, used, loaded)
         vm_id = turn.scheduler.rpartition(":")[0]
         if vm_id != self._own_id:
             self._links.notify(vm_id, ended)
         elif self._keeper is not None:
             tell(self._keeper, TurnEnded(ended))
 
-    def give(self, turn: LoadTurnGiven) -> None:
+    def give(self, turn: LoadGrantReply) -> None:
         """Hand a turn to the holder here; back if the engine is not held here."""
         holder = self._holders.find(turn.engine_id)
         if holder is None:
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -26,12 +26,12 @@
     CatalogueAnswer,
     CatalogueQuery,
     CrashSeen,
-    LoadTurnAsk,
-    LoadTurnEnded,
-    LoadTurnGiven,
-    PermitAsk,
+    LoadGrantRelease,
+    LoadGrantReply,
+    LoadGrantRequest,
     PermitCancel,
     PermitRelease,
+    PermitRequest,
     PermitsHeld,
     PermitsQuery,
     RecordsNotice,
@@ -55,7 +55,7 @@
     permits: PermitDesk
     desk: DecisionDesk
     answers: AnswerStore
-    give_turn: Callable[[LoadTurnGiven], None]
+    give_turn: Callable[[LoadGrantReply], None]
 
 
 class PeerHandler:
@@ -65,21 +65,21 @@
         self._views = views
         self._targets = targets
         self._request_by_type: dict[type, Callable[[str, Any, Reply], None]] = {
-            PermitAsk: self._on_permit_ask,
+            PermitRequest: self._on_permit_ask,
             PermitsQuery: self._on_permits_query,
             CatalogueQuery: self._on_catalogue_query,
             RevisionQuery: self._on_revision_query,
             AnswerQuery: self._on_answer_query,
         }
         self._notice_by_type: dict[type, Callable[[str, Any], None]] = {
-            PermitAsk: self._on_holder_notice,
+            PermitRequest: self._on_holder_notice,
             PermitCancel: self._on_holder_notice,
             PermitRelease: self._on_holder_notice,
             StatusNotice: self._on_status,
             RecordsNotice: self._on_records,
-            LoadTurnAsk: self._on_turn_ask,
-            LoadTurnGiven: self._on_turn_given,
-            LoadTurnEnded: self._on_turn_ended,
+            LoadGrantRequest: self._on_turn_ask,
+            LoadGrantReply: self._on_turn_given,
+            LoadGrantRelease: self._on_turn_ended,
             CrashSeen: self._on_crash,
         }
 
@@ -95,7 +95,7 @@
         if handler is not None:
             handler(sender, message)
 
-    def _on_permit_ask(self, sender: str, ask: PermitAsk, reply: Reply) -> None:
+    def _on_permit_ask(self, sender: str, ask: PermitRequest, reply: Reply) -> None:
         deliver_ask(self._targets.holders, sender, ask, reply)
 
     def _on_holder_notice(self, sender: str, message: Any) -> None:
@@ -133,13 +133,13 @@
             passed = CatalogueRecordsPassed(notice.first_offset, notice.values)
             tell(self._targets.catalogue, passed)
 
-    def _on_turn_ask(self, sender: str, ask: LoadTurnAsk) -> None:
+    def _on_turn_ask(self, sender: str, ask: LoadGrantRequest) -> None:
         tell(self._targets.load_turns, TurnAsked(sender, ask))
 
-    def _on_turn_given(self, _: str, turn: LoadTurnGiven) -> None:
+    def _on_turn_given(self, _: str, turn: LoadGrantReply) -> None:
         self._targets.give_turn(turn)
 
-    def _on_turn_ended(self, _: str, ended: LoadTurnEnded) -> None:
+    def _on_turn_ended(self, _: str, ended: LoadGrantRelease) -> None:
         tell(self._targets.load_turns, TurnEnded(ended))
 
     def _on_crash(self, _: str, seen: CrashSeen) -> None:
--- a/bamboovale/fleet/exchange.py
+++ b/bamboovale/fleet/gossip.py
@@ -17,7 +17,13 @@
 
 from bamboovale.fleet.changes import ChangeLog
 from bamboovale.fleet.membership import Change, Membership
-from bamboovale.fleet.messages import Gossip, Member, SuspectSeen, TopicRow, Unheard
+from bamboovale.fleet.messages import (
+    Gossip,
+    Member,
+    SuspectRequest,
+    Suspicion,
+    TopicRow,
+)
 from bamboovale.fleet.neighbours import NEVER, SLACK_S, Neighbour, Neighbours
 from bamboovale.fleet.rings import ALL_LINKED_UP_TO
 from bamboovale.fleet.topic_changes import TopicChanges
@@ -50,12 +56,12 @@
 """In place of a number of changes: the first message, which tells of us."""
 
 
-class Endpoints(Protocol):
+class EndpointsTopic(Protocol):
     """The endpoints' topic of this VM."""
 
     changes: TopicChanges
 
-    def take(
+    def apply_rows(
         self, first_offset: int, next_offset: int, rows: Iterable[TopicRow]
     ) -> None:
         """Take what a neighbour knows of the topic, if nothing before it is missing."""
@@ -78,17 +84,17 @@
     next_at: float = 0.0
 
 
-class Exchange:
+class GossipProtocol:
     """Messages to and from the neighbours of one VM; no sockets, no clock."""
 
     def __init__(
         self,
         membership: Membership,
         changes: ChangeLog[Change],
-        endpoints: Endpoints,
+        endpoints: EndpointsTopic,
         rng: random.Random,
         now: float,
-        on_suspect: Callable[[SuspectSeen], None] = lambda suspect: None,
+        on_suspect: Callable[[SuspectRequest], None] = lambda suspect: None,
         on_store_answer: Callable[[], None] = lambda: None,
         on_settled: Callable[[], None] = lambda: None,
         cut_link: Callable[[str], None] = lambda vm_id: None,
@@ -107,7 +113,7 @@
         self._on_settled = on_settled
         self._probe_at = now + PROBE_S
         self._pulls = _Pulls()
-        self._suspects: dict[SuspectSeen, None] = {}
+        self._suspects: dict[SuspectRequest, None] = {}
 
     def _new_neighbour(self, now: float) -> Neighbour:
         offset = self._endpoints.changes.next_offset or 0
@@ -142,12 +148,12 @@
             return self.neighbours.interval_s()
         return WATCH_RENEWAL_S if neighbour.watched else math.inf
 
-    def hurry(self) -> None:
+    def mark_all_due(self) -> None:
         """Let ``due`` send to every neighbour now, for the last words of a process."""
         for neighbour in self.neighbours.by_id.values():
             neighbour.sent_at = NEVER
 
-    def has_news(self) -> bool:
+    def has_updates(self) -> bool:
         """Tell whether a neighbour is to be told something before its interval ends."""
         return any(
             neighbour.sent_at == NEVER or self._is_behind(neighbour)
@@ -158,16 +164,16 @@
 
     def on_gossip(self, sender: str, gossip: Gossip, now: float) -> None:
         """Take a message; what is new in it is passed on with the next ``due``."""
-        neighbour = self.neighbours.on_heard(sender, now)
+        neighbour = self.neighbours.on_message(sender, now)
         if gossip.watches:
             neighbour.watches_us_until = now + WATCHER_S
         if any(member.vm_id == sender for member in gossip.members):
             self._answer_greeting(neighbour, now)
         neighbour.config_version = gossip.config_version
         for member in gossip.members:
-            self._membership.take(member, now)
+            self._membership.apply(member, now)
         for word in gossip.unheard:
-            self._membership.take_unheard(word, now)
+            self._membership.apply_suspicion(word, now)
         for suspect in gossip.suspects:
             if self.note_suspect(suspect):
                 self._on_suspect(suspect)
@@ -189,7 +195,7 @@
     def _take_rows(self, neighbour: Neighbour, gossip: Gossip, now: float) -> None:
         if gossip.next_offset < 0:
             return
-        self._endpoints.take(gossip.first_offset, gossip.next_offset, gossip.rows)
+        self._endpoints.apply_rows(gossip.first_offset, gossip.next_offset, gossip.rows)
         was_missed = now - neighbour.rows_sent_at > CHAIN_REPAIR_S
         if gossip.next_offset > neighbour.told_offset or was_missed:
             neighbour.told_offset = gossip.next_offset
@@ -214,7 +220,7 @@
 
     # What we tell.
 
-    def note_suspect(self, suspect: SuspectSeen) -> bool:
+    def note_suspect(self, suspect: SuspectRequest) -> bool:
         """Pass on a request that crashed its endpoint; False if it is not new."""
         if suspect in self._suspects:
             return False
@@ -305,8 +311,8 @@
             watches=state.watches,
             wants_all=state.wants_all,
             members=tuple(item for item in items if isinstance(item, Member)),
-            unheard=tuple(item for item in items if isinstance(item, Unheard)),
-            suspects=tuple(item for item in items if isinstance(item, SuspectSeen)),
+            unheard=tuple(item for item in items if isinstance(item, Suspicion)),
+            suspects=tuple(item for item in items if isinstance(item, SuspectRequest)),
             rows=tuple(rows),
         )
 
--- a/bamboovale/fleet/membership.py
+++ b/bamboovale/fleet/membership.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from bamboovale.fleet.changes import ChangeLog
-from bamboovale.fleet.messages import Member, SuspectSeen, Unheard
+from bamboovale.fleet.messages import Member, SuspectRequest, Suspicion
 from bamboovale.fleet.rings import Rings
 
 WORDS_NEEDED = 2
@@ -27,7 +27,7 @@
 MOST_MEMBERS = 4096
 """VMs known at once; bounds what a malformed or hostile message can add."""
 
-Change = Member | Unheard | SuspectSeen
+Change = Member | Suspicion | SuspectRequest
 
 
 @dataclass
@@ -62,7 +62,7 @@
         self._known_by_id: dict[str, _Known] = {}
         self._contact_by_id: dict[str, _Contact] = {}
         self._lapsed_by_id: dict[str, tuple[str, int]] = {}
-        self._words_by_id: dict[str, dict[str, Unheard]] = {}
+        self._words_by_id: dict[str, dict[str, Suspicion]] = {}
         self._unheard_by_us: set[str] = set()
         self._changes.put(("member", own.vm_id), own)
 
@@ -108,11 +108,11 @@
         contact = self._contact_by_id.get(vm_id)
         return contact.address if contact else self._lapsed_by_id.get(vm_id)
 
-    def observers_against(self, vm_id: str) -> list[str]:
+    def suspecting_observers(self, vm_id: str) -> list[str]:
         """Return the VMs that do not hear a VM."""
         return sorted(self._words_by_id.get(vm_id, ()))
 
-    def unheard_ids(self) -> list[str]:
+    def suspected_ids(self) -> list[str]:
         """Return the VMs that some observer does not hear."""
         return sorted(self._words_by_id)
 
@@ -126,7 +126,7 @@
 
     # What we tell of ourselves.
 
-    def tell(self, **fields: Any) -> bool:
+    def update_own(self, **fields: Any) -> bool:
         """Change what we tell of ourselves; False if nothing changes."""
         changed = replace(self.own, **fields)
         if changed == self.own:
@@ -161,7 +161,7 @@
         self.rings.remove(vm_id)
         return True
 
-    def take(self, member: Member, now: float) -> bool:
+    def apply(self, member: Member, now: float) -> bool:
         """Take what a VM tells of itself; False if it is not new."""
         if member.vm_id == self.own.vm_id:
             return self._take_own(member)
@@ -203,7 +203,7 @@
         self._publish(replace(self.own, start=member.start + 1))
         return True
 
-    def take_unheard(self, word: Unheard, now: float) -> bool:
+    def apply_suspicion(self, word: Suspicion, now: float) -> bool:
         """Take an observer's word against a VM; False if it is void or not new."""
         if word.vm_id == self.own.vm_id:
             return self._refute(word)
@@ -221,7 +221,7 @@
         self._judge_all(now)
         return True
 
-    def _refute(self, word: Unheard) -> bool:
+    def _refute(self, word: Suspicion) -> bool:
         """Contradict a word against ourselves."""
         if (word.start, word.refuted) != (self.own.start, self.own.refuted):
             return False
@@ -232,7 +232,7 @@
 
     # What we observe ourselves.
 
-    def on_unheard(self, vm_id: str, now: float) -> bool:
+    def suspect(self, vm_id: str, now: float) -> bool:
         """Note that we do not hear a VM that we watch."""
         known = self._known_by_id.get(vm_id)
         if known is None:
@@ -241,10 +241,10 @@
         if vm_id not in self._unheard_by_us:
             self._unheard_by_us.add(vm_id)
             self.version += 1
-        word = Unheard(self.own.vm_id, vm_id, member.start, member.refuted)
-        return self.take_unheard(word, now)
+        word = Suspicion(self.own.vm_id, vm_id, member.start, member.refuted)
+        return self.apply_suspicion(word, now)
 
-    def on_heard(self, vm_id: str) -> None:
+    def clear_suspicion(self, vm_id: str) -> None:
         """Note that a VM has just sent us something."""
         if vm_id in self._unheard_by_us:
             self._unheard_by_us.discard(vm_id)
--- a/bamboovale/fleet/messages.py
+++ b/bamboovale/fleet/messages.py
@@ -37,7 +37,7 @@
 
 @row
 @dataclass(frozen=True)
-class Unheard:
+class Suspicion:
     """An observer's word that a VM has fallen silent.
 
     Void once the VM has started anew or refuted more than ``refuted`` such words.
@@ -51,7 +51,7 @@
 
 @row
 @dataclass(frozen=True)
-class SuspectSeen:
+class SuspectRequest:
     """A request that was running when its endpoint crashed."""
 
     fingerprint: str
@@ -83,7 +83,7 @@
     watches: bool = False
     wants_all: bool = False
     members: tuple[Member, ...] = ()
-    unheard: tuple[Unheard, ...] = ()
-    suspects: tuple[SuspectSeen, ...] = ()
+    unheard: tuple[Suspicion, ...] = ()
+    suspects: tuple[SuspectRequest, ...] = ()
     rows: tuple[TopicRow, ...] = ()
     settled_count: int = 0
--- a/bamboovale/fleet/neighbours.py
+++ b/bamboovale/fleet/neighbours.py
@@ -25,7 +25,7 @@
 """Intervals without a sign of life after which a neighbour counts as silent."""
 SLACK_S = 0.2
 """Added to these: a message that crosses a slow link or waits for a busy loop."""
-OVERSLEPT_S = 0.3
+MAX_LAG_S = 0.3
 """Lateness of our own looks that is not held against the neighbours: their messages
 may lie unread in our sockets."""
 WORDS_BEFORE_BLOCK = 2
@@ -53,7 +53,7 @@
 
     awaited_from: float
     told: int
-    heard_at: float = NEVER
+    last_seen_at: float = NEVER
     watches_us_until: float = NEVER
     sent_at: float = NEVER
     told_offset: int = 0
@@ -66,7 +66,7 @@
 
     def quiet_since(self) -> float:
         """Return since when its silence counts."""
-        return max(self.awaited_from, self.heard_at)
+        return max(self.awaited_from, self.last_seen_at)
 
 
 class Neighbours:
@@ -110,20 +110,20 @@
             neighbour = self.by_id[vm_id] = self._new(now)
         return neighbour
 
-    def on_heard(self, vm_id: str, now: float) -> Neighbour:
+    def on_message(self, vm_id: str, now: float) -> Neighbour:
         """Note that a VM has just sent us something; return it."""
         neighbour = self.get(vm_id, now)
-        neighbour.heard_at = now
+        neighbour.last_seen_at = now
         neighbour.cut = False
         self._words_by_id.pop(vm_id, None)
         self._blocked_until.pop(vm_id, None)
-        self._membership.on_heard(vm_id)
+        self._membership.clear_suspicion(vm_id)
         return neighbour
 
-    def heard_and_silent(self, now: float) -> tuple[set[str], set[str]]:
+    def reachable_and_silent(self, now: float) -> tuple[set[str], set[str]]:
         """Return the VMs heard of late, and those that we do not hear."""
         last = now - self.silent_after_s()
-        heard = {v for v, n in self.by_id.items() if n.heard_at >= last}
+        heard = {v for v, n in self.by_id.items() if n.last_seen_at >= last}
         return heard, set(self._membership.not_live()) - heard
 
     def next_look_at(self, now: float) -> float:
@@ -177,7 +177,7 @@
         """Go by the others' word on VMs that we did not hear and no longer watch."""
         for vm_id in self._membership.unheard_by_us():
             if vm_id not in watched and not passed_over(vm_id):
-                self._membership.on_heard(vm_id)
+                self._membership.clear_suspicion(vm_id)
 
     def _width(self, now: float) -> int:
         """Return how many neighbours to try on each side of each ring."""
@@ -185,7 +185,7 @@
         while self._silent_at and self._silent_at[0] < first:
             self._silent_at.popleft()
         silent = len(self._silent_at)
-        heard = sum(n.heard_at >= first for n in self.by_id.values())
+        heard = sum(n.last_seen_at >= first for n in self.by_id.values())
         return WIDTHS[(silent > 1) + (silent > heard)]
 
     def _drop_strangers(self, chosen: set[str], now: float) -> None:
@@ -217,9 +217,9 @@
 
     def _watch(self, now: float) -> None:
         """Give our word against watched neighbours that have fallen silent."""
-        overslept_s = now - self._looked_at - self.interval_s()
+        lag_s = now - self._looked_at - self.interval_s()
         self._looked_at = now
-        if overslept_s > OVERSLEPT_S:
+        if lag_s > MAX_LAG_S:
             for neighbour in self.by_id.values():
                 neighbour.awaited_from = now - self.interval_s()
         last = now - self.silent_after_s()
@@ -245,4 +245,4 @@
             self._blocked_until[vm_id] = now + BLOCK_S
             return
         self._words_by_id[vm_id] = words + 1
-        self._membership.on_unheard(vm_id, now)
+        self._membership.suspect(vm_id, now)
--- a/bamboovale/fleet/subscriptions.py
+++ b/bamboovale/fleet/subscriptions.py
@@ -33,7 +33,7 @@
         self._asked_at[vm_id] = now
         return before is None or now - before > LAPSE_S
 
-    def current(self, now: float) -> list[str]:
+    def subscribers(self, now: float) -> list[str]:
         """Return whom to tell."""
         for vm_id, asked_at in list(self._asked_at.items()):
             if now - asked_at > LAPSE_S:
@@ -49,7 +49,7 @@
         return max(LOADS_INTERVAL_S, len(self._asked_at) / LOADS_PER_S)
 
 
-class Interest:
+class Subscriber:
     """Which owners this VM asks to be told of their engines; no sockets, no clock."""
 
     def __init__(self) -> None:
@@ -58,19 +58,19 @@
 
     def note_request(self, now: float) -> bool:
         """Note that a request needs an engine; True if nothing was asked for before."""
-        was_idle = not self.is_needed(now)
+        was_idle = not self.is_active(now)
         self._needed_at = now
         return was_idle
 
-    def note_asked(self, owner: str, now: float) -> None:
+    def note_renewal(self, owner: str, now: float) -> None:
         """Note a message that the owner takes for asking."""
         self._asked_at[owner] = now
 
-    def is_needed(self, now: float) -> bool:
+    def is_active(self, now: float) -> bool:
         """Tell whether this VM chooses engines."""
         return now - self._needed_at < IDLE_S
 
-    def to_ask(self, owners: set[str], now: float) -> list[str]:
+    def due_renewals(self, owners: set[str], now: float) -> list[str]:
         """Return the owners to ask now, and note that they are asked."""
         for owner in self._asked_at.keys() - owners:
             del self._asked_at[owner]
--- a/bamboovale/gateway/isolation.py
+++ b/bamboovale/gateway/isolation.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from bamboovale.fleet.exchange import Exchange
+from bamboovale.fleet.gossip import GossipProtocol
 from bamboovale.gateway.ownership import GROUP, Ownership
 from bamboovale.gateway.store import MetadataStore, StoreError
 from bamboovale.gateway.vm_state import VMState
@@ -21,7 +21,7 @@
     def __init__(
         self,
         state: VMState,
-        exchange: Exchange,
+        exchange: GossipProtocol,
         ownership: Ownership,
         store: MetadataStore,
         tell: Callable[[], None],
@@ -42,7 +42,7 @@
         since = self._state.now()
         while True:
             await asyncio.sleep(LOOK_S)
-            heard, silent = self._exchange.neighbours.heard_and_silent(
+            heard, silent = self._exchange.neighbours.reachable_and_silent(
                 self._state.now()
             )
             minority = len(silent) > len(heard) + 1
--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -6,8 +6,8 @@
 from typing import Any, get_args
 
 from bamboovale.decisions.timer_lag import TimerLagMonitor
-from bamboovale.fleet.exchange import Exchange
-from bamboovale.fleet.messages import Gossip, SuspectSeen
+from bamboovale.fleet.gossip import GossipProtocol
+from bamboovale.fleet.messages import Gossip, SuspectRequest
 from bamboovale.gateway.crashes import CrashGuard
 from bamboovale.gateway.engine_assignment import EngineAssignment
 from bamboovale.gateway.engine_owner import EngineOwner
@@ -92,7 +92,7 @@
         self._lateness = TimerLagMonitor()
         self._live: set[str] = set()
         self.status_exchange = EngineStatusExchange(state, engines, links)
-        self.exchange = Exchange(
+        self.exchange = GossipProtocol(
             state.fleet.membership,
             state.fleet.changes,
             records.endpoints,
@@ -101,13 +101,13 @@
             on_suspect=crashes.on_notice,
             on_store_answer=state.store_watch.on_answer,
             on_settled=state.store_watch.on_settled,
-            cut_link=links.cut,
+            cut_link=links.abort,
         )
 
     def announce(self) -> None:
         """Tell what has changed of us with the next message to each neighbour."""
         self.exchange.config_version = self._config_version()
-        is_new = self._state.fleet.membership.tell(
+        is_new = self._state.fleet.membership.update_own(
             serving=self._state.serving(),
             owned=self._owned(),
             busy=self._lateness.is_busy,
@@ -131,11 +131,11 @@
 
     def announce_leaving(self) -> None:
         """Tell the neighbours that this process ends now."""
-        self._state.fleet.membership.tell(serving=False, left=True)
-        self.exchange.hurry()
+        self._state.fleet.membership.update_own(serving=False, left=True)
+        self.exchange.mark_all_due()
         self._send_due()
 
-    def broadcast_suspect(self, suspect: SuspectSeen) -> None:
+    def broadcast_suspect(self, suspect: SuspectRequest) -> None:
         """Tell every VM of a request that crashed its endpoint."""
         if self.exchange.note_suspect(suspect):
             self._news.set()
@@ -222,7 +222,7 @@
             silent=_some(before - live),
             live=len(live) + 1,
             unheard_by={
-                vm_id: self._state.fleet.membership.observers_against(vm_id)
+                vm_id: self._state.fleet.membership.suspecting_observers(vm_id)
                 for vm_id in _some(before - live)
             },
         )
@@ -275,7 +275,7 @@
         if isinstance(message, Gossip):
             version = self._state.fleet.version
             self.exchange.on_gossip(sender, message, now)
-            if self.exchange.has_news():
+            if self.exchange.has_updates():
                 self._news.set()
             if self._state.fleet.version != version:
                 self._note_live()
--- a/bamboovale/gateway/state_dump.py
+++ b/bamboovale/gateway/state_dump.py
@@ -3,14 +3,14 @@
 from collections.abc import Iterable
 from typing import Any
 
-from bamboovale.fleet.exchange import Exchange
+from bamboovale.fleet.gossip import GossipProtocol
 from bamboovale.gateway.engines import Engines
 from bamboovale.gateway.followers import TopicFollower
 from bamboovale.gateway.journal import finite_age_s
 from bamboovale.gateway.vm_state import VMState
 
 
-def dump_fleet(state: VMState, exchange: Exchange) -> dict[str, Any]:
+def dump_fleet(state: VMState, exchange: GossipProtocol) -> dict[str, Any]:
     """Return who we are, who lives, whom we watch and how old that is, in seconds."""
     now = state.now()
     membership = state.fleet.membership
@@ -25,14 +25,14 @@
         "peers": peers,
         "neighbours": {
             vm_id: {
-                "heard_s_ago": finite_age_s(now - neighbour.heard_at),
+                "heard_s_ago": finite_age_s(now - neighbour.last_seen_at),
                 "watched": neighbour.watched,
             }
             for vm_id, neighbour in exchange.neighbours.by_id.items()
         },
         "unheard": {
-            vm_id: membership.observers_against(vm_id)
-            for vm_id in membership.unheard_ids()
+            vm_id: membership.suspecting_observers(vm_id)
+            for vm_id in membership.suspected_ids()
         },
         "named": {
             domain: [member.vm_id for member in members]
--- a/bamboovale/gateway/status_exchange.py
+++ b/bamboovale/gateway/status_exchange.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from bamboovale.fleet.subscriptions import Interest, Subscriptions
+from bamboovale.fleet.subscriptions import Subscriber, Subscriptions
 from bamboovale.gateway.engines import Engines, Links
 from bamboovale.gateway.messages import EngineLoads, EngineStatuses, StatusSubscription
 from bamboovale.gateway.vm_state import VMState
@@ -21,7 +21,7 @@
         self._engines = engines
         self._links = links
         self._subscriptions = Subscriptions()
-        self._interest = Interest()
+        self._interest = Subscriber()
         engines.on_engine_needed = self.on_engine_needed
 
     # As an owner.
@@ -38,7 +38,7 @@
         statuses = self._statuses()
         self._state.fleet.on_statuses(self._state.node.name, statuses.statuses, now)
         if statuses.statuses:
-            self._links.notify_all(self._subscriptions.current(now), statuses)
+            self._links.notify_all(self._subscriptions.subscribers(now), statuses)
 
     async def publish_statuses_forever(self) -> None:
         """Tell at intervals, while there is something to tell."""
@@ -61,7 +61,7 @@
             told = loads
             now = self._state.now()
             self._state.fleet.on_loads(self._state.node.name, loads.loads, now)
-            self._links.notify_all(self._subscriptions.current(now), loads)
+            self._links.notify_all(self._subscriptions.subscribers(now), loads)
 
     def _statuses(self) -> EngineStatuses:
         owners = self._engines.owner_by_engine.values()
@@ -81,10 +81,10 @@
         """
         now = self._state.now()
         owns_some = bool(self._engines.owner_by_engine)
-        if not owns_some and not self._interest.is_needed(now):
+        if not owns_some and not self._interest.is_active(now):
             return
         others = self._state.fleet.owner_ids() - {self._state.node.name}
-        due = self._interest.to_ask(others, now)
+        due = self._interest.due_renewals(others, now)
         if due:
             self._links.notify_all(due, StatusSubscription())
 
--- a/bamboovale/peers/doorway.py
+++ b/bamboovale/peers/authentication.py
@@ -15,7 +15,11 @@
     is_loopback,
 )
 from bamboovale.peers.codec import MAX_FRAME_BYTES, BadMessageError
-from bamboovale.peers.handshake import HandshakeError, introduce, receive
+from bamboovale.peers.handshake import (
+    HandshakeError,
+    authenticate_as_called,
+    authenticate_as_caller,
+)
 from bamboovale.peers.outgoing import PeerUnreachableError
 
 # Strangers may hold this many unproved connections open; each for a second.
@@ -24,7 +28,7 @@
 AddressOf = Callable[[str], tuple[str, int] | None]
 
 
-class Doorway:
+class Authenticator:
     """Knows who we are and the shared key; without a key, only loopback passes."""
 
     def __init__(
@@ -66,7 +70,9 @@
                     local_addr=(self._address, 0),
                 )
                 try:
-                    await introduce(connection, self._own_id, vm_id, self._key)
+                    await authenticate_as_caller(
+                        connection, self._own_id, vm_id, self._key
+                    )
                 except BaseException:
                     connection.transport.abort()
                     raise
@@ -78,7 +84,7 @@
             raise PeerUnreachableError(str(error)) from error
         return Channel(connection, self._metrics)
 
-    async def let_in(self, connection: ServerConnection) -> str | None:
+    async def accept(self, connection: ServerConnection) -> str | None:
         """Return the VM id of the other side, or None if it is not let in.
 
         Guards against strangers who open connections and say nothing: each is held
@@ -92,7 +98,7 @@
         self._unproved += 1
         try:
             async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
-                return await receive(connection, self._own_id, self._key)
+                return await authenticate_as_called(connection, self._own_id, self._key)
         except (TimeoutError, HandshakeError, ConnectionClosed):
             return None
         except BadMessageError:
--- a/bamboovale/peers/handshake.py
+++ b/bamboovale/peers/handshake.py
@@ -71,7 +71,9 @@
     """Ends the handshake: the called side takes messages from here on."""
 
 
-async def introduce(channel: Channel, own_id: str, peer_id: str, key: str) -> None:
+async def authenticate_as_caller(
+    channel: Channel, own_id: str, peer_id: str, key: str
+) -> None:
     """Prove ourselves as the caller and check the called side's proof.
 
     Raises HandshakeError if the other side is another VM or has another key.
@@ -86,7 +88,7 @@
     await _receive(channel, Welcome)
 
 
-async def receive(channel: Channel, own_id: str, key: str) -> str:
+async def authenticate_as_called(channel: Channel, own_id: str, key: str) -> str:
     """Prove ourselves as the called side; return the caller's VM id.
 
     Raises HandshakeError if the caller meant another VM or has another key.
--- a/bamboovale/peers/links.py
+++ b/bamboovale/peers/links.py
@@ -18,9 +18,9 @@
 from websockets.asyncio.server import Server, ServerConnection, serve
 
 from bamboovale.metrics import Metrics
+from bamboovale.peers.authentication import AddressOf, Authenticator
 from bamboovale.peers.channel import HANDSHAKE_TIMEOUT_S, LIBRARY_LOGGER, Channel
 from bamboovale.peers.codec import MAX_FRAME_BYTES
-from bamboovale.peers.doorway import AddressOf, Doorway
 from bamboovale.peers.frames import FrameKind, encode_frame
 from bamboovale.peers.handshake import MAX_HANDSHAKE_BYTES
 from bamboovale.peers.incoming import IncomingLink, NoticeHandler, RequestHandler
@@ -72,7 +72,7 @@
     ) -> None:
         self._address = address
         self._port = port
-        self._doorway = Doorway(own_id, address, key, address_of, metrics)
+        self._authenticator = Authenticator(own_id, address, key, address_of, metrics)
         self._metrics = metrics
         self._numbers = itertools.count(1)
         self._link_by_vm_id: dict[str, OutgoingLink] = {}
@@ -144,7 +144,7 @@
             if loop is not None:
                 loop.call_soon_threadsafe(self._enqueue_notice, tuple(vm_ids), data)
 
-    def connected(self) -> dict[str, LinkState]:
+    def link_states(self) -> dict[str, LinkState]:
         """Return the state of the links by VM id."""
         incoming = Counter(link.sender for link in self._incoming.copy())
         links = self._link_by_vm_id.copy()
@@ -185,7 +185,7 @@
             else:
                 incoming.notify(data)
 
-    def cut(self, vm_id: str) -> None:
+    def abort(self, vm_id: str) -> None:
         """Cut the links with a peer that we do not hear; the next message opens one.
 
         Guards against connections that go silent without a reset while new ones work:
@@ -194,17 +194,17 @@
         """
         outgoing = self._link_by_vm_id.get(vm_id)
         if outgoing is not None:
-            outgoing.cut()
+            outgoing.abort()
         for incoming in list(self._incoming):
             if incoming.sender == vm_id:
-                incoming.cut()
+                incoming.abort()
 
     def _enqueue(self, vm_id: str, item: Outbound, timeout_s: float | None) -> None:
         link = self._link_by_vm_id.get(vm_id)
         if link is None:
 
             def open_channel() -> Coroutine[Any, Any, Channel]:
-                return self._doorway.open_channel(vm_id)
+                return self._authenticator.open_channel(vm_id)
 
             def take_notice(message: Any) -> None:
                 self._on_notice(vm_id, message)
@@ -278,7 +278,7 @@
         on_notice: NoticeHandler,
     ) -> None:
         """Let a peer prove who it is, then serve it."""
-        sender = await self._doorway.let_in(connection)
+        sender = await self._authenticator.accept(connection)
         if sender is None:
             self._metrics.peer_links_closed.labels("unproved").inc()
             connection.transport.abort()
@@ -313,12 +313,12 @@
         looked_at = loop.time()
         while True:
             await asyncio.sleep(SWEEP_S)
-            overslept_s = max(0.0, loop.time() - looked_at - 2 * SWEEP_S)
+            lag_s = max(0.0, loop.time() - looked_at - 2 * SWEEP_S)
             looked_at = loop.time()
             for incoming in list(self._incoming):
-                incoming.check(overslept_s)
+                incoming.check(lag_s)
             for vm_id, link in list(self._link_by_vm_id.items()):
-                link.check(overslept_s)
+                link.check(lag_s)
                 unused_s = looked_at - link.last_used
                 if unused_s > IDLE_CLOSE_S and not link.awaiting_reply:
                     del self._link_by_vm_id[vm_id]
--- a/bamboovale/peers/messages.py
+++ b/bamboovale/peers/messages.py
@@ -10,7 +10,7 @@
 
 @message("permit_ask")
 @dataclass(frozen=True)
-class PermitAsk:
+class PermitRequest:
     """Ask the lease holder of an engine for a place.
 
     Repeated with a higher ``ask_number`` while the entry VM waits. Times are
@@ -146,7 +146,7 @@
 
 @message("load_turn_ask")
 @dataclass(frozen=True)
-class LoadTurnAsk:
+class LoadGrantRequest:
     """Ask the load scheduler for a turn at the weight store; repeated while wanted."""
 
     engine_id: str
@@ -156,7 +156,7 @@
 
 @message("load_turn_given")
 @dataclass(frozen=True)
-class LoadTurnGiven:
+class LoadGrantReply:
     """A turn of one scheduler; ``scheduler`` and ``number`` together name it."""
 
     engine_id: str
@@ -167,7 +167,7 @@
 
 @message("load_turn_ended")
 @dataclass(frozen=True)
-class LoadTurnEnded:
+class LoadGrantRelease:
     """The turn is over; unless ``used``, the store served nothing for it."""
 
     scheduler: str
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,12 +13,12 @@
 )
 
 from bamboovale.fleet.changes import ChangeLog
-from bamboovale.fleet.exchange import MOST_ITEMS, WATCH_RENEWAL_S
+from bamboovale.fleet.gossip import MOST_ITEMS, WATCH_RENEWAL_S
 from bamboovale.fleet.membership import FORGET_S, MOST_MEMBERS, Change, Membership
-from bamboovale.fleet.messages import Gossip, Member, SuspectSeen, Unheard
+from bamboovale.fleet.messages import Gossip, Member, SuspectRequest, Suspicion
 from bamboovale.fleet.neighbours import BLOCK_S, INTERVAL_S, WORDS_BEFORE_BLOCK
 from bamboovale.fleet.rings import ALL_LINKED_UP_TO, RINGS, Rings
-from bamboovale.fleet.subscriptions import IDLE_S, LAPSE_S, Interest, Subscriptions
+from bamboovale.fleet.subscriptions import IDLE_S, LAPSE_S, Subscriber, Subscriptions
 from bamboovale.fleet.topic_changes import MOST_ROWS, TopicChanges
 from tests import fleet_play
 from tests.fleet_play import PlayedFleet, PlayedVM
@@ -47,7 +47,7 @@
     changes: ChangeLog[Change] = ChangeLog()
     result = Membership(member("me"), changes)
     for vm_id in others:
-        result.take(member(vm_id), 0.0)
+        result.apply(member(vm_id), 0.0)
     return result
 
 
@@ -144,8 +144,8 @@
     def test_an_older_start_never_displaces_a_newer_one(self) -> None:
         """News of a VM's last start comes late, over a slow neighbour."""
         view = membership("a")
-        assert view.take(member("a", start=5), 1.0)
-        assert not view.take(member("a", start=4, revision=99), 1.1)
+        assert view.apply(member("a", start=5), 1.0)
+        assert not view.apply(member("a", start=4, revision=99), 1.1)
         known = view.member("a")
         assert known is not None and known.start == 5
 
@@ -156,67 +156,67 @@
         to it. It hears of its last start and tells of a later one.
         """
         view = membership("a")
-        view.take(member("me", start=1000, revision=7), 1.0)
+        view.apply(member("me", start=1000, revision=7), 1.0)
         assert view.own.start == 1001
         changes: ChangeLog[Change] = ChangeLog()
         other = Membership(member("other"), changes)
-        other.take(member("me", start=1000, revision=7), 0.5)
-        assert other.take(view.own, 1.0)
+        other.apply(member("me", start=1000, revision=7), 0.5)
+        assert other.apply(view.own, 1.0)
 
     def test_the_word_of_one_observer_throws_nobody_out(self) -> None:
         view = membership("a", "b", "c", "d")
-        view.take_unheard(Unheard("b", "a", 1, 0), 1.0)
+        view.apply_suspicion(Suspicion("b", "a", 1, 0), 1.0)
         assert view.is_live("a")
-        view.take_unheard(Unheard("c", "a", 1, 0), 1.1)
+        view.apply_suspicion(Suspicion("c", "a", 1, 0), 1.1)
         assert not view.is_live("a")
 
     def test_a_word_of_a_vm_that_is_out_does_not_count(self) -> None:
         """A VM is cut off; what it says of the others must not throw them out."""
         view = membership("a", "b", "c", "d")
         for observer in "cd":
-            view.take_unheard(Unheard(observer, "b", 1, 0), 1.0)
+            view.apply_suspicion(Suspicion(observer, "b", 1, 0), 1.0)
         assert not view.is_live("b")
-        view.take_unheard(Unheard("b", "a", 1, 0), 1.1)
-        view.take_unheard(Unheard("c", "a", 1, 0), 1.2)
+        view.apply_suspicion(Suspicion("b", "a", 1, 0), 1.1)
+        view.apply_suspicion(Suspicion("c", "a", 1, 0), 1.2)
         assert view.is_live("a")
 
     def test_a_vm_contradicts_and_is_live_again(self) -> None:
         view = membership("a", "b", "c", "d")
         for observer in "bc":
-            view.take_unheard(Unheard(observer, "a", 1, 0), 1.0)
-        assert view.take(member("a", revision=2, refuted=1), 1.5)
+            view.apply_suspicion(Suspicion(observer, "a", 1, 0), 1.0)
+        assert view.apply(member("a", revision=2, refuted=1), 1.5)
         assert view.is_live("a")
-        assert not view.take_unheard(Unheard("d", "a", 1, 0), 1.6)
+        assert not view.apply_suspicion(Suspicion("d", "a", 1, 0), 1.6)
 
     def test_news_of_a_dead_vm_that_comes_late_does_not_revive_it(self) -> None:
         """A VM tells what it owns and dies; the news arrives after the words."""
         view = membership("a", "b", "c", "d")
         for observer in "bc":
-            view.take_unheard(Unheard(observer, "a", 1, 0), 1.0)
-        view.take(member("a", revision=2), 1.5)
+            view.apply_suspicion(Suspicion(observer, "a", 1, 0), 1.0)
+        view.apply(member("a", revision=2), 1.5)
         assert not view.is_live("a")
 
     def test_words_against_us_are_refuted_once(self) -> None:
         view = membership("a", "b")
-        assert view.take_unheard(Unheard("a", "me", 1, 0), 1.0)
-        assert not view.take_unheard(Unheard("b", "me", 1, 0), 1.0)
+        assert view.apply_suspicion(Suspicion("a", "me", 1, 0), 1.0)
+        assert not view.apply_suspicion(Suspicion("b", "me", 1, 0), 1.0)
         assert view.own.refuted == 1
 
     def test_what_a_message_can_add_is_bounded(self) -> None:
         """A member claims thousands of others that do not exist."""
         view = membership()
         for number in range(MOST_MEMBERS + 100):
-            view.take(member(f"vm{number}"), 0.0)
+            view.apply(member(f"vm{number}"), 0.0)
             view.on_contact(f"contact{number}", ("10.0.0.1", 1), 0.0)
         assert len(view.live()) + len(view.not_live()) <= MOST_MEMBERS
 
     def test_a_vm_that_is_out_for_long_is_forgotten(self) -> None:
         view = membership("a", "b", "c")
         for observer in "bc":
-            view.take_unheard(Unheard(observer, "a", 1, 0), 1.0)
+            view.apply_suspicion(Suspicion(observer, "a", 1, 0), 1.0)
         view.forget(1.0 + FORGET_S)
         assert view.member("a") is None
-        assert view.take(member("a", start=2), 99.0)
+        assert view.apply(member("a", start=2), 99.0)
 
 
 class TestFleetOfHundreds:
@@ -242,8 +242,8 @@
     def test_a_vm_that_says_that_it_ends_is_out_at_once(self) -> None:
         fleet = started(LARGE)
         leaving = fleet.vm_by_id["vm7"]
-        leaving.membership.tell(left=True)
-        leaving.exchange.hurry()
+        leaving.membership.update_own(left=True)
+        leaving.exchange.mark_all_due()
         fleet.send_due(leaving)
         fleet.run(0.01)
         fleet.kill("vm7")
@@ -292,10 +292,12 @@
 
     def test_a_request_that_crashes_endpoints_is_known_everywhere(self) -> None:
         fleet = started(61)
-        seen: list[SuspectSeen] = []
+        seen: list[SuspectRequest] = []
         for vm in _vms(fleet):
             vm.exchange._on_suspect = seen.append
-        fleet.vm_by_id["vm1"].exchange.note_suspect(SuspectSeen("request", "endpoint"))
+        fleet.vm_by_id["vm1"].exchange.note_suspect(
+            SuspectRequest("request", "endpoint")
+        )
         fleet.run(NEWS_S)
         assert len(seen) == 60
 
@@ -496,8 +498,8 @@
         liar = fleet.vm_by_id["vm0"]
         for _ in range(10):
             for item in liar.membership.live():
-                word = Unheard("vm0", item.vm_id, item.start, item.refuted)
-                liar.membership.take_unheard(word, fleet.now)
+                word = Suspicion("vm0", item.vm_id, item.start, item.refuted)
+                liar.membership.apply_suspicion(word, fleet.now)
             fleet.run(0.5)
             assert all(fleet.who_lists(v) >= 29 for v in fleet.vm_by_id if v != "vm0")
 
@@ -518,7 +520,7 @@
         assert subscriptions.renew("a", 0.0)
         assert not subscriptions.renew("a", 2.0)
         assert subscriptions.renew("b", 4.0)
-        assert subscriptions.current(LAPSE_S + 3.0) == ["b"]
+        assert subscriptions.subscribers(LAPSE_S + 3.0) == ["b"]
         assert subscriptions.renew("a", LAPSE_S + 4.0)
 
     def test_more_listeners_are_told_less_often(self) -> None:
@@ -531,15 +533,15 @@
         assert 1.0 < subscriptions.status_interval_s() < 2.0
 
     def test_a_vm_asks_while_it_chooses_engines(self) -> None:
-        interest = Interest()
-        assert not interest.is_needed(100.0)
+        interest = Subscriber()
+        assert not interest.is_active(100.0)
         assert interest.note_request(100.0)
         assert not interest.note_request(101.0)
-        assert set(interest.to_ask({"a", "b"}, 101.0)) == {"a", "b"}
-        assert interest.to_ask({"a", "b"}, 102.0) == []
-        assert interest.to_ask({"a", "b", "c"}, 102.5) == ["c"]
-        assert set(interest.to_ask({"a", "b"}, 103.1)) == {"a", "b"}
-        assert not interest.is_needed(101.0 + IDLE_S)
+        assert set(interest.due_renewals({"a", "b"}, 101.0)) == {"a", "b"}
+        assert interest.due_renewals({"a", "b"}, 102.0) == []
+        assert interest.due_renewals({"a", "b", "c"}, 102.5) == ["c"]
+        assert set(interest.due_renewals({"a", "b"}, 103.1)) == {"a", "b"}
+        assert not interest.is_active(101.0 + IDLE_S)
 
 
 NAMES = [f"vm{number}" for number in range(14)]
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -15,7 +15,7 @@
 
 from bamboovale.decisions.place_work import EngineSnapshot
 from bamboovale.decoding import BadRecordError
-from bamboovale.fleet.messages import Member, Unheard
+from bamboovale.fleet.messages import Member, Suspicion
 from bamboovale.gateway.endpoints import EndpointChange, EndpointView
 from bamboovale.gateway.engines import Engines
 from bamboovale.gateway.events import EventBuffer, EventsBroken
@@ -254,7 +254,7 @@
     """Return the fleet of a VM that has heard of these."""
     fleet = Fleet(member("me", 1))
     for item in members:
-        fleet.membership.take(item, 0.0)
+        fleet.membership.apply(item, 0.0)
     return fleet
 
 
@@ -264,12 +264,12 @@
     def test_a_silent_vm_is_left_out(self) -> None:
         fleet = fleet_of(member("a", 1))
         assert [item.vm_id for item in fleet.serving()] == ["a"]
-        fleet.membership.on_unheard("a", 5.0)
+        fleet.membership.suspect("a", 5.0)
         assert fleet.serving() == []
 
     def test_a_stopping_vm_is_left_out_at_once(self) -> None:
         fleet = fleet_of(member("a", 1))
-        fleet.membership.take(member("a", 2, serving=False), 0.1)
+        fleet.membership.apply(member("a", 2, serving=False), 0.1)
         assert fleet.serving() == []
 
     def test_the_owner_with_the_higher_number_is_believed(self) -> None:
@@ -280,7 +280,7 @@
         fleet = fleet_of(member("new", 1, ("e", 5)))
         owned = fleet.engine("e")
         assert owned is not None and owned.owner == "new"
-        fleet.membership.take(member("old", 1, ("e", 4)), 1.1)
+        fleet.membership.apply(member("old", 1, ("e", 4)), 1.1)
         fleet.on_statuses("old", [status("e", 4)], 1.2)
         owned = fleet.engine("e")
         assert owned is not None and owned.owner == "new"
@@ -289,18 +289,18 @@
         """An owner dies while the store is away; another VM stands in for it."""
         fleet = fleet_of(member("dead", 1, ("e", 5)))
         assert fleet.engine("e") is not None
-        fleet.membership.on_unheard("dead", 2.0)
-        fleet.membership.take(member("b", 1, ("e", 4)), 2.1)
+        fleet.membership.suspect("dead", 2.0)
+        fleet.membership.apply(member("b", 1, ("e", 4)), 2.1)
         owned = fleet.engine("e")
         assert owned is not None and owned.owner == "b"
 
     def test_an_engine_that_its_owner_no_longer_names_is_given_up(self) -> None:
         fleet = fleet_of(member("a", 1, ("e", 5)))
         assert fleet.engine("e") is not None
-        fleet.membership.take(member("a", 2), 1.1)
+        fleet.membership.apply(member("a", 2), 1.1)
         owned = fleet.engine("e")
         assert owned is not None and owned.released
-        fleet.membership.take(member("b", 1, ("e", 4)), 1.2)
+        fleet.membership.apply(member("b", 1, ("e", 4)), 1.2)
         owned = fleet.engine("e")
         assert owned is not None and owned.owner == "b"
 
@@ -311,7 +311,7 @@
         """
         fleet = fleet_of(member("a", 1), member("b", 1))
         fleet.on_statuses("a", [status("e", 4)], 1.0)
-        fleet.membership.take(member("b", 2), 1.1)
+        fleet.membership.apply(member("b", 2), 1.1)
         owned = fleet.engine("e")
         assert owned is not None and not owned.released and owned.owner == "a"
 
@@ -319,7 +319,7 @@
         """An owner stops; who asks its successor first knows what is loaded."""
         fleet = fleet_of(member("a", 1, ("e", 4)))
         fleet.on_statuses("a", [replace(status("e", 4), kept=7)], 1.0)
-        fleet.membership.take(member("b", 1, ("e", 5)), 1.1)
+        fleet.membership.apply(member("b", 1, ("e", 5)), 1.1)
         owned = fleet.engine("e")
         assert owned is not None and owned.owner == "b"
         assert owned.status is not None and owned.status.kept == 7
@@ -330,7 +330,7 @@
         fleets = [Fleet(member(name, 1)) for name in names]
         for fleet in fleets:
             for name in names:
-                fleet.membership.take(member(name, 1), 0.0)
+                fleet.membership.apply(member(name, 1), 0.0)
         candidates = {tuple(fleet.owner_candidates()) for fleet in fleets}
         assert len(candidates) == 1
         assert len(candidates.pop()) == 24
@@ -352,7 +352,7 @@
         """
         fleet = fleet_of(member("a", 1, ("e", 4)))
         fleet.on_statuses("a", [status("e", 4)], 1.0)
-        fleet.membership.take(member("b", 1, ("e", 5)), 1.1)
+        fleet.membership.apply(member("b", 1, ("e", 5)), 1.1)
         fleet.on_statuses("b", [status("e", 5)], 1.15)
         fleet.on_loads("a", (EngineLoad("e", 0, 0, 0.0, 18),), 1.2)
         owned = fleet.engine("e")
@@ -362,9 +362,9 @@
     def test_a_word_that_was_refuted_is_void(self) -> None:
         """Two neighbours of a VM that was frozen say so late, after it has woken up."""
         fleet = fleet_of(*(member(name, 1) for name in "abc"))
-        fleet.membership.take(member("a", 2, refuted=1), 1.0)
+        fleet.membership.apply(member("a", 2, refuted=1), 1.0)
         for observer in "bc":
-            fleet.membership.take_unheard(Unheard(observer, "a", 1, 0), 1.1)
+            fleet.membership.apply_suspicion(Suspicion(observer, "a", 1, 0), 1.1)
         assert fleet.is_live("a")
 
 
@@ -760,8 +760,8 @@
             waiting = follower(store, seen, reads=False)
             task = asyncio.create_task(waiting.follow())
             await asyncio.sleep(0.05)
-            waiting.take(10, 13, (("e", b"{}", 11),))
-            waiting.take(10, 12, (("e", b"{}", 11),))
+            waiting.apply_rows(10, 13, (("e", b"{}", 11),))
+            waiting.apply_rows(10, 12, (("e", b"{}", 11),))
             task.cancel()
             assert (store.reads, seen) == (0, [11])
 
@@ -778,7 +778,7 @@
             waiting = follower(ScriptedStore(), seen, reads=False)
             task = asyncio.create_task(waiting.follow())
             await asyncio.sleep(0.05)
-            waiting.take(20, 22, (("e", b"{}", 21),))
+            waiting.apply_rows(20, 22, (("e", b"{}", 21),))
             task.cancel()
             assert seen == []
 
@@ -811,7 +811,7 @@
             )
             task = asyncio.create_task(reader.follow())
             await asyncio.sleep(0.05)
-            reader.take(10, 11, (("e", b"{}", 10),))
+            reader.apply_rows(10, 11, (("e", b"{}", 10),))
             store.go.set()
             await asyncio.sleep(0.05)
             task.cancel()
--- a/tests/test_peer_links.py
+++ b/tests/test_peer_links.py
@@ -21,8 +21,8 @@
     IDLE_PING_INTERVAL_S,
     PING_INTERVAL_S,
     PING_TIMEOUT_S,
-    Check,
     Keepalive,
+    KeepaliveAction,
 )
 from bamboovale.peers.links import PeerLinks
 from bamboovale.peers.outgoing import (
@@ -186,24 +186,26 @@
 class TestKeepalive:
     """When a peer is pinged and when it counts as silent."""
 
-    def check(self, keepalive: Keepalive, now: float, overslept_s: float = 0) -> Check:
-        return keepalive.check(now, awaiting_reply=True, overslept_s=overslept_s)
+    def check(
+        self, keepalive: Keepalive, now: float, lag_s: float = 0
+    ) -> KeepaliveAction:
+        return keepalive.check(now, awaiting_reply=True, lag_s=lag_s)
 
     def test_a_peer_that_owes_a_reply_is_pinged_soon_and_others_seldom(self) -> None:
         keepalive = Keepalive(0.0)
-        idle = {"awaiting_reply": False, "overslept_s": 0.0}
-        assert keepalive.check(PING_INTERVAL_S, **idle) is Check.NOTHING
-        assert keepalive.check(IDLE_PING_INTERVAL_S, **idle) is Check.PING
+        idle = {"awaiting_reply": False, "lag_s": 0.0}
+        assert keepalive.check(PING_INTERVAL_S, **idle) is KeepaliveAction.NOTHING
+        assert keepalive.check(IDLE_PING_INTERVAL_S, **idle) is KeepaliveAction.PING
         keepalive.note_received(IDLE_PING_INTERVAL_S + 0.1)
         soon = IDLE_PING_INTERVAL_S + PING_INTERVAL_S
-        assert self.check(keepalive, soon) is Check.PING
+        assert self.check(keepalive, soon) is KeepaliveAction.PING
         assert keepalive.round_trip_s == pytest.approx(0.1)
 
     def test_an_unanswered_ping_means_silence(self) -> None:
         keepalive = Keepalive(0.0)
-        assert self.check(keepalive, 1.0) is Check.PING
-        assert self.check(keepalive, 1.0 + PING_TIMEOUT_S) is Check.NOTHING
-        assert self.check(keepalive, 1.1 + PING_TIMEOUT_S) is Check.SILENT
+        assert self.check(keepalive, 1.0) is KeepaliveAction.PING
+        assert self.check(keepalive, 1.0 + PING_TIMEOUT_S) is KeepaliveAction.NOTHING
+        assert self.check(keepalive, 1.1 + PING_TIMEOUT_S) is KeepaliveAction.SILENT
 
     def test_our_own_pause_is_not_the_peers_silence(self) -> None:
         """Our process is frozen for five seconds right after a ping.
@@ -212,9 +214,9 @@
         link would be cut at once, and requests would end with an unknown outcome.
         """
         keepalive = Keepalive(0.0)
-        assert self.check(keepalive, 1.0) is Check.PING
-        assert self.check(keepalive, 6.25, overslept_s=5.0) is Check.NOTHING
-        assert self.check(keepalive, 7.5) is Check.SILENT
+        assert self.check(keepalive, 1.0) is KeepaliveAction.PING
+        assert self.check(keepalive, 6.25, lag_s=5.0) is KeepaliveAction.NOTHING
+        assert self.check(keepalive, 7.5) is KeepaliveAction.SILENT
 
 
 class TestMessages:
@@ -254,8 +256,8 @@
     def test_the_state_of_links_is_shown(self, pair) -> None:
         a, b = pair
         a.ask("b", "x")
-        assert a.links.connected()["b"].outgoing == "open"
-        assert b.links.connected()["a"].incoming == 1
+        assert a.links.link_states()["b"].outgoing == "open"
+        assert b.links.link_states()["a"].incoming == 1
 
 
 class TestUnreachable:
@@ -329,7 +331,7 @@
 
     def test_without_a_key_only_loopback_is_called(self, ports) -> None:
         a = Node("a", ports, key="")
-        a.links._doorway._address_of = lambda vm_id: ("192.0.2.1", 9)
+        a.links._authenticator._address_of = lambda vm_id: ("192.0.2.1", 9)
         with running(a), pytest.raises(PeerUnreachableError, match="loopback"):
             a.ask("b", "x")
 
@@ -343,7 +345,7 @@
             stranger.send(cbor2.dumps({"type": "proof", "proof": challenge["proof"]}))
             with pytest.raises(ConnectionClosed):
                 stranger.recv(timeout=3)
-        assert b.links.connected() == {}
+        assert b.links.link_states() == {}
 
 
 class TestStrangers:
@@ -421,7 +423,7 @@
         with pytest.raises(PeerLostError):
             a.ask("b", "ignore", timeout_s=30)
         assert time.monotonic() - began < SILENCE_FOUND_WITHIN_S
-        eventually(lambda: b.links.connected().get("a") is None)
+        eventually(lambda: b.links.link_states().get("a") is None)
 
     def test_a_timeout_says_that_the_request_may_have_arrived(self, pair) -> None:
         a, b = pair
