--- a/bamboovale/catalogue/fold.py
+++ b/bamboovale/catalogue/fold.py
@@ -42,7 +42,7 @@
 DIGEST_BYTES = 16
 
 
-class GapFoundError(Exception):
+class CatalogueGapError(Exception):
     """Records between ``next_offset`` and ``offset`` were not read.
 
     The fold is unchanged. Only a snapshot taken at or after the oldest kept offset
@@ -162,12 +162,12 @@
 
         A record that was folded before is passed over (a reader may read again).
         A snapshot found here changes nothing: its state was folded already.
-        Raises :class:`GapFoundError` if records are missing before this one.
+        Raises :class:`CatalogueGapError` if records are missing before this one.
         """
         if offset < self.next_offset:
             return None
         if offset > self.next_offset:
-            raise GapFoundError(self.next_offset, offset)
+            raise CatalogueGapError(self.next_offset, offset)
         self.next_offset = offset + 1
         self._view = None
         record_type = value.get("type") if isinstance(value, dict) else None
--- a/bamboovale/catalogue/keeper.py
+++ b/bamboovale/catalogue/keeper.py
@@ -8,7 +8,7 @@
 
 from bamboovale.actors import MessageActor, Tick
 from bamboovale.catalogue.edits import EDIT_TYPE, EditOutcome
-from bamboovale.catalogue.fold import Catalogue, GapFoundError
+from bamboovale.catalogue.fold import Catalogue, CatalogueGapError
 from bamboovale.catalogue.snapshots import (
     SnapshotAssembler,
     SnapshotInvalidError,
@@ -169,7 +169,7 @@
         try:
             for record in fresh:
                 self._apply(record.offset, record.value)
-        except GapFoundError as gap:
+        except CatalogueGapError as gap:
             logger.warning("catalogue: %s", gap)
             self._callbacks.read_from(gap.next_offset)
         if fresh and self._views.catalogue is not None:
--- a/tests/test_catalogue_fold.py
+++ b/tests/test_catalogue_fold.py
@@ -13,7 +13,7 @@
     PoolEntry,
     parse_entry,
 )
-from bamboovale.catalogue.fold import Catalogue, GapFoundError
+from bamboovale.catalogue.fold import Catalogue, CatalogueGapError
 from bamboovale.models import WorkClass
 
 POOL = {"kind": "pool", "name": "tutor-llm", "base_model": "base-8b"}
@@ -186,7 +186,7 @@
 
     def test_a_gap_is_found_and_changes_nothing(self) -> None:
         catalogue = fold(edit("00000001", change(POOL)))
-        with pytest.raises(GapFoundError):
+        with pytest.raises(CatalogueGapError):
             catalogue.apply(3, edit("00000002", deletion("pool", "tutor-llm")))
         assert catalogue.next_offset == 1
 
--- a/tests/test_catalogue_machine.py
+++ b/tests/test_catalogue_machine.py
@@ -12,7 +12,7 @@
     rule,
 )
 
-from bamboovale.catalogue.fold import Catalogue, GapFoundError
+from bamboovale.catalogue.fold import Catalogue, CatalogueGapError
 from bamboovale.catalogue.snapshots import (
     SnapshotAssembler,
     read_snapshot,
@@ -154,7 +154,7 @@
                 return
             try:
                 outcome = catalogue.apply(offset, self.log[offset])
-            except GapFoundError:
+            except CatalogueGapError:
                 self.recover(reader)
                 return
             if outcome is not None:
