--- a/bamboovale/catalogue/keeper.py
+++ b/bamboovale/catalogue/actor.py
@@ -110,7 +110,7 @@
     on_change: Callable[[], None]
 
 
-class CatalogueKeeper(MessageActor):
+class CatalogueActor(MessageActor):
     """Owns the fold of the catalogue."""
 
     def __init__(
--- a/bamboovale/cli/catalogue_recovery.py
+++ b/bamboovale/cli/catalogue_recovery.py
@@ -10,8 +10,8 @@
 import typer
 from result import Err
 
+from bamboovale.catalogue.actor import CATALOGUE_STREAM
 from bamboovale.catalogue.fold import Catalogue
-from bamboovale.catalogue.keeper import CATALOGUE_STREAM
 from bamboovale.catalogue.snapshots import split_snapshot, write_snapshot
 from bamboovale.cli.administration import AdministrationClient
 from bamboovale.http_client import HttpClient
--- a/bamboovale/entry/administration.py
+++ b/bamboovale/entry/administration.py
@@ -10,9 +10,9 @@
 
 from bamboovale.actors import tell
 from bamboovale.admin.port import InForceReport
+from bamboovale.catalogue.actor import AwaitOutcome
 from bamboovale.catalogue.edits import Edit, EditOutcome
 from bamboovale.catalogue.fold import Catalogue, CatalogueView
-from bamboovale.catalogue.keeper import AwaitOutcome
 from bamboovale.entry.state_dump import StateDump
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
--- a/bamboovale/entry/peer_exchange.py
+++ b/bamboovale/entry/peer_exchange.py
@@ -8,7 +8,7 @@
 import pykka
 
 from bamboovale.actors import tell, tell_result
-from bamboovale.catalogue.keeper import CATALOGUE_STREAM, CatalogueFromPeer
+from bamboovale.catalogue.actor import CATALOGUE_STREAM, CatalogueFromPeer
 from bamboovale.claims.answers import AnswerState, AnswerStore, KeptAnswer
 from bamboovale.decisions.suspects import CrashNotice
 from bamboovale.decisions.work import Permit
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -7,7 +7,7 @@
 import pykka
 
 from bamboovale.actors import tell
-from bamboovale.catalogue.keeper import (
+from bamboovale.catalogue.actor import (
     CATALOGUE_STREAM,
     CatalogueRecordsPassed,
     SnapshotAsked,
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -8,11 +8,11 @@
 
 from bamboovale.actors import TICK_S, Ticker, hand_over, tell
 from bamboovale.admin.app import AdministrationApp
-from bamboovale.catalogue.keeper import (
+from bamboovale.catalogue.actor import (
     CATALOGUE_STREAM,
+    CatalogueActor,
     CatalogueBatchRead,
     CatalogueCallbacks,
-    CatalogueKeeper,
     DumpCatalogue,
     PeerIsAhead,
     SnapshotDuty,
@@ -173,7 +173,7 @@
             self._turn_routes.give,
         )
         self._turn_routes.attach(self._load_turns)
-        self._catalogue = CatalogueKeeper.start(
+        self._catalogue = CatalogueActor.start(
             environment,
             self.views,
             self._appender_by_stream[CATALOGUE_STREAM],
--- a/bench/guards.py
+++ b/bench/guards.py
@@ -57,13 +57,13 @@
                 "    return True\n    if inputs.log_silent_s <= STALE_AFTER_S",
             ),
             Change(
-                "bamboovale/catalogue/keeper.py",
+                "bamboovale/catalogue/actor.py",
                 "        if message.first_offset > self._catalogue.next_offset:\n"
                 "            return",
                 "        return",
             ),
             Change(
-                "bamboovale/catalogue/keeper.py",
+                "bamboovale/catalogue/actor.py",
                 "        if message.next_offset <= self._catalogue.next_offset:",
                 "        if True:",
             ),
--- a/tests/test_catalogue_keeper.py
+++ b/tests/test_catalogue_actor.py
@@ -8,6 +8,12 @@
 import pykka
 import pytest
 
+from bamboovale.catalogue.actor import (
+    AwaitOutcome,
+    CatalogueActor,
+    CatalogueBatchRead,
+    CatalogueCallbacks,
+)
 from bamboovale.catalogue.edits import (
     Action,
     Change,
@@ -17,12 +23,6 @@
 )
 from bamboovale.catalogue.entries import Kind, PoolEntry
 from bamboovale.catalogue.fold import Catalogue
-from bamboovale.catalogue.keeper import (
-    AwaitOutcome,
-    CatalogueBatchRead,
-    CatalogueCallbacks,
-    CatalogueKeeper,
-)
 from bamboovale.catalogue.snapshots import split_snapshot, write_snapshot
 from bamboovale.environment import Environment
 from bamboovale.log_service.log_client import LogRecord, RecordBatch
@@ -47,7 +47,7 @@
     environment = Environment(Settings(id="entry-1"), Metrics(), logging.getLogger())
     callbacks = CatalogueCallbacks(*(lambda *_: None for _ in range(5)))
     appender: Any = None
-    actor = CatalogueKeeper.start(environment, views, appender, callbacks)
+    actor = CatalogueActor.start(environment, views, appender, callbacks)
     yield actor
     actor.stop()
 
