--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -50,7 +50,7 @@
 from bamboovale.entry.state_dump import StateDump, as_json
 from bamboovale.environment import Environment
 from bamboovale.http_client import HttpClient
-from bamboovale.leases.keeper import START_BEHIND, LeaseKeeper
+from bamboovale.leases.actor import START_BEHIND, LeaseActor
 from bamboovale.leases.messages import (
     LEASE_STREAM,
     WEIGHT_STORE,
@@ -188,7 +188,7 @@
                 on_change=self._on_membership,
             ),
         )
-        self._leases = LeaseKeeper.start(
+        self._leases = LeaseActor.start(
             environment,
             self.views,
             self._appender_by_stream[LEASE_STREAM],
--- a/bamboovale/leases/keeper.py
+++ b/bamboovale/leases/actor.py
@@ -55,7 +55,7 @@
 logger = logging.getLogger(__name__)
 
 
-class LeaseKeeper(MessageActor):
+class LeaseActor(MessageActor):
     """Owns the lease table and this VM's own leases."""
 
     def __init__(
--- a/tests/test_leases_keeper.py
+++ b/tests/test_leases_actor.py
@@ -10,7 +10,7 @@
 
 from bamboovale.actors import Tick
 from bamboovale.environment import Environment
-from bamboovale.leases.keeper import LeaseKeeper
+from bamboovale.leases.actor import LeaseActor
 from bamboovale.leases.messages import (
     DumpLeases,
     LeaseBatchRead,
@@ -86,7 +86,7 @@
         on_valid=lambda *_: None,
     )
     appender: Any = log
-    actor = LeaseKeeper.start(environment, views, appender, log.health, callbacks)
+    actor = LeaseActor.start(environment, views, appender, log.health, callbacks)
     yield actor
     actor.stop()
 
