--- a/bamboovale/claims/keeper.py
+++ b/bamboovale/claims/actor.py
@@ -66,7 +66,7 @@
     """Ask for the state as JSON."""
 
 
-class ClaimKeeper(MessageActor):
+class ClaimActor(MessageActor):
     """Owns the claim table and the group commit of this VM's claims."""
 
     def __init__(self, environment: Environment, appender: Appender) -> None:
--- a/bamboovale/entry/keyed.py
+++ b/bamboovale/entry/keyed.py
@@ -8,6 +8,7 @@
 import pykka
 
 from bamboovale.actors import tell
+from bamboovale.claims.actor import ClaimAsked, ClaimEnded
 from bamboovale.claims.answers import (
     MAX_BODY_BYTES,
     AnswerState,
@@ -15,7 +16,6 @@
     KeptAnswer,
 )
 from bamboovale.claims.fold import ClaimOutcome, KeyReport, Verdict
-from bamboovale.claims.keeper import ClaimAsked, ClaimEnded
 from bamboovale.claims.records import Answered, Claim, Released
 from bamboovale.entry.caller_request import CallerRequest
 from bamboovale.entry.ending import CallerAnswer, ClosingChunks, Ending
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -17,13 +17,13 @@
     PeerIsAhead,
     SnapshotDuty,
 )
-from bamboovale.claims.answers import AnswerStore
-from bamboovale.claims.keeper import (
+from bamboovale.claims.actor import (
     CLAIM_STREAM,
+    ClaimActor,
     ClaimBatchRead,
-    ClaimKeeper,
     DumpClaims,
 )
+from bamboovale.claims.answers import AnswerStore
 from bamboovale.decisions.policy import Policy
 from bamboovale.decisions.suspects import CrashNotice
 from bamboovale.engines.client import VllmEngineOrders
@@ -199,7 +199,7 @@
                 on_valid=self._holders.wake,
             ),
         )
-        self._claims = ClaimKeeper.start(
+        self._claims = ClaimActor.start(
             environment,
             self._appender_by_stream[CLAIM_STREAM],
         )
--- a/tests/test_claims_keeper.py
+++ b/tests/test_claims_actor.py
@@ -9,8 +9,8 @@
 import pytest
 
 from bamboovale.actors import Tick
+from bamboovale.claims.actor import ClaimActor, ClaimAsked, ClaimBatchRead
 from bamboovale.claims.fold import ClaimOutcome, Verdict
-from bamboovale.claims.keeper import ClaimAsked, ClaimBatchRead, ClaimKeeper
 from bamboovale.claims.records import Claim, group
 from bamboovale.environment import Environment
 from bamboovale.log_service.log_client import LogRecord, RecordBatch
@@ -46,7 +46,7 @@
         now=lambda: log.now,
     )
     appender: Any = log
-    return ClaimKeeper.start(environment, appender)
+    return ClaimActor.start(environment, appender)
 
 
 @pytest.fixture
--- a/tests/test_entry_keyed.py
+++ b/tests/test_entry_keyed.py
@@ -7,9 +7,9 @@
 import pykka
 import pytest
 
+from bamboovale.claims.actor import ClaimAsked, ClaimEnded
 from bamboovale.claims.answers import AnswerState, AnswerStore, KeptAnswer
 from bamboovale.claims.fold import ClaimOutcome, KeyReport, KeyState, Verdict
-from bamboovale.claims.keeper import ClaimAsked, ClaimEnded
 from bamboovale.claims.records import Answered, Released
 from bamboovale.entry.caller_request import CallerRequest
 from bamboovale.entry.ending import CallerAnswer, Ending
