--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -19,7 +19,7 @@
 from bamboovale.entry.holder_links import deliver_ask, deliver_notice
 from bamboovale.entry.holders import Holders
 from bamboovale.entry.permits import PermitDesk
-from bamboovale.membership.keeper import StatusReceived
+from bamboovale.membership.actor import StatusReceived
 from bamboovale.peers.messages import (
     AnswerKept,
     AnswerQuery,
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -62,13 +62,13 @@
 from bamboovale.log_service.appender import Appender
 from bamboovale.log_service.follower import LogHealth, StreamFollower
 from bamboovale.log_service.log_client import LogClient, RecordBatch
-from bamboovale.membership.keeper import (
+from bamboovale.membership.actor import (
     DrainBegun,
     DumpMembership,
     HintMade,
     HolderStopped,
+    MembershipActor,
     MembershipCallbacks,
-    MembershipKeeper,
     VMListReader,
     forward_list,
 )
@@ -150,7 +150,7 @@
 
     def _start_actors(self) -> None:
         environment = self.environment
-        self._membership = MembershipKeeper.start(
+        self._membership = MembershipActor.start(
             environment,
             self.views,
             self._health,
--- a/bamboovale/membership/keeper.py
+++ b/bamboovale/membership/actor.py
@@ -134,7 +134,7 @@
             self._stopped.wait(READ_LIST_EVERY_S)
 
 
-class MembershipKeeper(MessageActor):
+class MembershipActor(MessageActor):
     """Owns the view of the VMs and the exchange of status with peers."""
 
     def __init__(
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -13,11 +13,11 @@
 from bamboovale.environment import Environment
 from bamboovale.http_client import HttpClient
 from bamboovale.log_service.follower import LogHealth
-from bamboovale.membership.keeper import (
+from bamboovale.membership.actor import (
     FANOUT,
     LARGE_FLEET_FANOUT,
+    MembershipActor,
     MembershipCallbacks,
-    MembershipKeeper,
     StatusReceived,
     VMListRead,
 )
@@ -44,7 +44,7 @@
             logging.getLogger("test"),
             now=lambda: self.now,
         )
-        self.keeper = MembershipKeeper.start(
+        self.keeper = MembershipActor.start(
             environment,
             self.views,
             LogHealth(lambda: self.now),
