--- a/bamboovale/catalogue/fold.py
+++ b/bamboovale/catalogue/fold.py
@@ -34,7 +34,7 @@
     HISTORY_CHANGES_PER_EDIT,
     EntryChange,
     HistoryRecord,
-    Journal,
+    EditHistory,
 )
 from bamboovale.catalogue.index import EntryIndex, Tombstone
 from bamboovale.catalogue.rules import MAX_FINDINGS, find_conflicts, find_faults
@@ -101,7 +101,7 @@
         self.digest = ""
         self.counters = CatalogueCounters()
         self.index = EntryIndex()
-        self.journal = Journal()
+        self.edit_history = EditHistory()
         self._view: CatalogueView | None = None
 
     @classmethod
@@ -130,7 +130,7 @@
         An id that belongs to an edit with other contents is a rejection: its
         sender must not be told the other's outcome.
         """
-        known = self.journal.outcome_by_edit_id.get(edit_id)
+        known = self.edit_history.outcome_by_edit_id.get(edit_id)
         if known is None or known.digest == digest:
             return known
         return EditOutcome(
@@ -153,7 +153,7 @@
                 pool_by_name=self.index.pool_by_name,
                 service_by_name=self.index.service_by_name,
                 tombstone_by_key=dict(self.index.tombstone_by_key),
-                history=tuple(self.journal.history),
+                history=tuple(self.edit_history.history),
             )
         return self._view
 
@@ -193,7 +193,7 @@
         self.next_offset = other.next_offset
         self.digest = other.digest
         self.index = other.index
-        self.journal = other.journal
+        self.edit_history = other.edit_history
         self._view = None
         return True
 
@@ -210,7 +210,7 @@
             self.counters.repeated += 1
             return known
         outcome = self._judge(offset, edit, digest)
-        self.journal.remember(outcome)
+        self.edit_history.remember(outcome)
         return outcome
 
     def _judge(self, offset: int, edit: Edit, digest: str) -> EditOutcome:
@@ -283,7 +283,7 @@
             changed += 1
             if len(listed) < HISTORY_CHANGES_PER_EDIT:
                 listed.append(entry_change)
-        self.journal.add(
+        self.edit_history.add(
             HistoryRecord(
                 revision=revision,
                 edit_id=edit.edit_id,
--- a/bamboovale/catalogue/history.py
+++ b/bamboovale/catalogue/history.py
@@ -58,7 +58,7 @@
         }
 
 
-class Journal:
+class EditHistory:
     """Outcomes and history, the oldest dropped beyond their bounds."""
 
     def __init__(self) -> None:
--- a/bamboovale/catalogue/snapshots.py
+++ b/bamboovale/catalogue/snapshots.py
@@ -143,9 +143,9 @@
         ]
     for lora_name, source in index.retired_source_by_lora_name.items():
         yield ["retired", lora_name, source.source, source.base_model]
-    for outcome in catalogue.journal.outcome_by_edit_id.values():
+    for outcome in catalogue.edit_history.outcome_by_edit_id.values():
         yield ["outcome", _outcome_row(outcome)]
-    for record in catalogue.journal.history:
+    for record in catalogue.edit_history.history:
         yield ["history", _history_row(record)]
 
 
@@ -188,12 +188,12 @@
 
 
 def _add_outcome(catalogue: Catalogue, row: Any) -> None:
-    catalogue.journal.remember(_read_outcome(row))
+    catalogue.edit_history.remember(_read_outcome(row))
 
 
 def _add_history(catalogue: Catalogue, row: Any) -> None:
     revision, edit_id, author, made_at, changes, omitted = row
-    catalogue.journal.add(
+    catalogue.edit_history.add(
         HistoryRecord(
             revision=revision,
             edit_id=edit_id,
