--- a/bamboovale/catalogue/fold.py
+++ b/bamboovale/catalogue/fold.py
@@ -37,7 +37,7 @@
     EditHistory,
 )
 from bamboovale.catalogue.index import EntryIndex, Tombstone
-from bamboovale.catalogue.rules import MAX_FINDINGS, find_conflicts, find_faults
+from bamboovale.catalogue.rules import MAX_FINDINGS, find_conflicts, validate_changes
 
 DIGEST_BYTES = 16
 
@@ -230,7 +230,7 @@
                     conflicts=tuple(conflicts[:MAX_FINDINGS]),
                 )
             )
-        findings = find_faults(edit.changes, self.index)
+        findings = validate_changes(edit.changes, self.index)
         if findings:
             return self._reject(
                 replace(
--- a/bamboovale/catalogue/rules.py
+++ b/bamboovale/catalogue/rules.py
@@ -41,7 +41,7 @@
     return conflicts
 
 
-def find_faults(changes: Sequence[Change], index: EntryIndex) -> list[Finding]:
+def validate_changes(changes: Sequence[Change], index: EntryIndex) -> list[Finding]:
     """Return what would be wrong with the catalogue after the changes."""
     staged = StagedEntries(changes, index)
     findings = list(_repeated(changes))
