--- a/bamboovale/catalogue/actor.py
+++ b/bamboovale/catalogue/actor.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True)
-class CatalogueRecordsPassed:
+class CatalogueRecordsForwarded:
     """Records that a peer passed on."""
 
     first_offset: int
@@ -103,7 +103,7 @@
 class CatalogueCallbacks:
     """What the keeper does with what it learns; called from its own thread."""
 
-    pass_on: Callable[[int, tuple[Any, ...]], None]
+    forward: Callable[[int, tuple[Any, ...]], None]
     ask_peer: Callable[[str | None], None]
     read_from: Callable[[int], None]
     on_version_changed: Callable[[str, str, str], None]
@@ -136,7 +136,7 @@
         self._next_snapshot_at = float("inf")
         self._next_ask_at = 0.0
         self.handle(CatalogueBatchRead, self._on_batch)
-        self.handle(CatalogueRecordsPassed, self._on_passed)
+        self.handle(CatalogueRecordsForwarded, self._on_forwarded)
         self.handle(CatalogueFromPeer, self._on_peer_catalogue)
         self.handle(PeerIsAhead, self._on_peer_ahead)
         self.handle(AwaitOutcome, self._on_await)
@@ -174,7 +174,7 @@
             self._callbacks.read_from(gap.next_offset)
         if fresh and self._views.catalogue is not None:
             values = tuple(record.value for record in fresh)
-            self._callbacks.pass_on(fresh[0].offset, values)
+            self._callbacks.forward(fresh[0].offset, values)
 
     def _apply(self, offset: int, value: Any) -> None:
         before = self._catalogue.view() if self._views.catalogue else None
@@ -251,7 +251,7 @@
                 for future in self._waiting_by_edit.pop((edit_id, digest)):
                     self._settled.append((future, outcome))
 
-    def _on_passed(self, message: CatalogueRecordsPassed) -> None:
+    def _on_forwarded(self, message: CatalogueRecordsForwarded) -> None:
         """Fold what a peer passed on, if it follows what is here."""
         if self._views.catalogue is None or self._assembler is not None:
             return
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -9,7 +9,7 @@
 from bamboovale.actors import tell
 from bamboovale.catalogue.actor import (
     CATALOGUE_STREAM,
-    CatalogueRecordsPassed,
+    CatalogueRecordsForwarded,
     SnapshotAsked,
 )
 from bamboovale.claims.answers import AnswerStore
@@ -130,7 +130,7 @@
 
     def _on_records(self, _: str, notice: RecordsNotice) -> None:
         if notice.stream == CATALOGUE_STREAM:
-            passed = CatalogueRecordsPassed(notice.first_offset, notice.values)
+            passed = CatalogueRecordsForwarded(notice.first_offset, notice.values)
             tell(self._targets.catalogue, passed)
 
     def _on_turn_ask(self, sender: str, ask: LoadTurnAsk) -> None:
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -178,7 +178,7 @@
             self.views,
             self._appender_by_stream[CATALOGUE_STREAM],
             CatalogueCallbacks(
-                pass_on=self._exchange.pass_on,
+                forward=self._exchange.pass_on,
                 ask_peer=lambda vm_id: self._exchange.ask_catalogue(
                     vm_id,
                     self._catalogue,
