--- a/bamboovale/catalogue/actor.py
+++ b/bamboovale/catalogue/actor.py
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True)
-class CatalogueFromPeer:
+class PeerSnapshotReceived:
     """A whole catalogue from a peer, None if it had none."""
 
     snapshot: Any
@@ -137,7 +137,7 @@
         self._next_ask_at = 0.0
         self.handle(CatalogueBatchRead, self._on_batch)
         self.handle(CatalogueRecordsForwarded, self._on_forwarded)
-        self.handle(CatalogueFromPeer, self._on_peer_catalogue)
+        self.handle(PeerSnapshotReceived, self._on_peer_catalogue)
         self.handle(PeerIsAhead, self._on_peer_ahead)
         self.handle(AwaitOutcome, self._on_await)
         self.handle(SnapshotDuty, self._on_duty_changed)
@@ -267,7 +267,7 @@
         self._fold(records)
         self._publish()
 
-    def _on_peer_catalogue(self, message: CatalogueFromPeer) -> None:
+    def _on_peer_catalogue(self, message: PeerSnapshotReceived) -> None:
         if message.snapshot is not None:
             self._adopt(message.snapshot)
 
--- a/bamboovale/entry/peer_exchange.py
+++ b/bamboovale/entry/peer_exchange.py
@@ -8,7 +8,7 @@
 import pykka
 
 from bamboovale.actors import tell, tell_result
-from bamboovale.catalogue.actor import CATALOGUE_STREAM, CatalogueFromPeer
+from bamboovale.catalogue.actor import CATALOGUE_STREAM, PeerSnapshotReceived
 from bamboovale.claims.answers import AnswerState, AnswerStore, KeptAnswer
 from bamboovale.decisions.suspects import CrashNotice
 from bamboovale.decisions.work import Permit
@@ -65,7 +65,7 @@
             tell_result(
                 keeper,
                 future,
-                lambda answer: CatalogueFromPeer(getattr(answer, "snapshot", None)),
+                lambda answer: PeerSnapshotReceived(getattr(answer, "snapshot", None)),
             )
 
     def ask_permits(
