--- a/bamboovale/catalogue/actor.py
+++ b/bamboovale/catalogue/actor.py
@@ -81,10 +81,10 @@
 
 
 @dataclass(frozen=True)
-class SnapshotDuty:
+class SnapshotRoleChanged:
     """Whether this VM writes the snapshots of the catalogue."""
 
-    on_duty: bool
+    is_writer: bool
 
 
 @dataclass(frozen=True)
@@ -131,7 +131,7 @@
         self._log_end = 0
         self._settled: list[tuple[Future[EditOutcome], EditOutcome]] = []
         self._waiting_by_edit: dict[tuple[str, str], list[Future[EditOutcome]]] = {}
-        self._on_duty = False
+        self._is_snapshot_writer = False
         self._snapshot_at_offset = 0
         self._next_snapshot_at = float("inf")
         self._next_ask_at = 0.0
@@ -140,7 +140,7 @@
         self.handle(PeerSnapshotReceived, self._on_peer_catalogue)
         self.handle(PeerIsAhead, self._on_peer_ahead)
         self.handle(AwaitOutcome, self._on_await)
-        self.handle(SnapshotDuty, self._on_duty_changed)
+        self.handle(SnapshotRoleChanged, self._on_role_changed)
         self.handle(SnapshotAsked, self._on_snapshot_asked)
         self.handle(Tick, self._on_tick)
         self.handle(DumpCatalogue, self._on_dump)
@@ -297,8 +297,8 @@
 
     # Snapshots on the log.
 
-    def _on_duty_changed(self, message: SnapshotDuty) -> None:
-        self._on_duty = message.on_duty
+    def _on_role_changed(self, message: SnapshotRoleChanged) -> None:
+        self._is_snapshot_writer = message.is_writer
         self._next_snapshot_at = self._environment.now()
 
     def _on_tick(self, _: Tick) -> None:
@@ -308,7 +308,7 @@
                 self._next_ask_at = now + ASK_PEER_EVERY_S
                 self._callbacks.ask_peer(None)
             return
-        if self._on_duty and self._snapshot_is_due(now):
+        if self._is_snapshot_writer and self._snapshot_is_due(now):
             self._write_snapshot(now)
 
     def _snapshot_is_due(self, now: float) -> bool:
@@ -338,5 +338,5 @@
             "rejected": counters.rejected,
             "regressions": counters.regressions,
             "behind_a_gap": self._assembler is not None,
-            "writes_snapshots": self._on_duty,
+            "writes_snapshots": self._is_snapshot_writer,
         }
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -15,7 +15,7 @@
     CatalogueCallbacks,
     DumpCatalogue,
     PeerIsAhead,
-    SnapshotDuty,
+    SnapshotRoleChanged,
 )
 from bamboovale.claims.actor import (
     CLAIM_STREAM,
@@ -393,14 +393,14 @@
     def _on_held(self, engine_id: str, fencing: int, valid: Any) -> None:
         if engine_id == WEIGHT_STORE:
             tell(self._load_turns, SchedulerLeaseChanged(fencing, valid))
-            tell(self._catalogue, SnapshotDuty(on_duty=True))
+            tell(self._catalogue, SnapshotRoleChanged(is_writer=True))
             return
         self._holders.start(engine_id, fencing, valid, self._holder_links)
 
     def _on_lost(self, engine_id: str) -> None:
         if engine_id == WEIGHT_STORE:
             tell(self._load_turns, SchedulerLeaseChanged(None, lambda: False))
-            tell(self._catalogue, SnapshotDuty(on_duty=False))
+            tell(self._catalogue, SnapshotRoleChanged(is_writer=False))
             return
         self._holders.stop(engine_id, self._holder_links)
 
