--- a/bamboovale/catalogue/actor.py
+++ b/bamboovale/catalogue/actor.py
@@ -88,7 +88,7 @@
 
 
 @dataclass(frozen=True)
-class SnapshotAsked:
+class SnapshotRequested:
     """A peer wants the whole catalogue."""
 
     reply: Callable[[Any], None]
@@ -141,7 +141,7 @@
         self.handle(PeerIsAhead, self._on_peer_ahead)
         self.handle(AwaitOutcome, self._on_await)
         self.handle(SnapshotRoleChanged, self._on_role_changed)
-        self.handle(SnapshotAsked, self._on_snapshot_asked)
+        self.handle(SnapshotRequested, self._on_snapshot_asked)
         self.handle(Tick, self._on_tick)
         self.handle(DumpCatalogue, self._on_dump)
 
@@ -279,7 +279,7 @@
             self._next_ask_at = now + ASK_PEER_EVERY_S
             self._callbacks.ask_peer(message.vm_id)
 
-    def _on_snapshot_asked(self, message: SnapshotAsked) -> None:
+    def _on_snapshot_asked(self, message: SnapshotRequested) -> None:
         whole = self._views.catalogue is not None
         message.reply(write_snapshot(self._catalogue) if whole else None)
 
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -10,7 +10,7 @@
 from bamboovale.catalogue.actor import (
     CATALOGUE_STREAM,
     CatalogueRecordsForwarded,
-    SnapshotAsked,
+    SnapshotRequested,
 )
 from bamboovale.claims.answers import AnswerStore
 from bamboovale.decisions.suspects import CrashNotice
@@ -106,7 +106,7 @@
         reply(PermitsHeld(query.engine_id, held))
 
     def _on_catalogue_query(self, _: str, __: CatalogueQuery, reply: Reply) -> None:
-        asked = SnapshotAsked(lambda snapshot: reply(CatalogueAnswer(snapshot)))
+        asked = SnapshotRequested(lambda snapshot: reply(CatalogueAnswer(snapshot)))
         tell(self._targets.catalogue, asked)
 
     def _on_revision_query(self, _: str, __: RevisionQuery, reply: Reply) -> None:
