--- a/bamboovale/claims/actor.py
+++ b/bamboovale/claims/actor.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class ClaimAsked:
+class ClaimRequested:
     """A caller's thread wants a claim; ``give_up_at`` is on the monotonic clock.
 
     The future brings the outcome, or None if the claim did not come about: the
@@ -75,11 +75,11 @@
         self._appender = appender
         self._table: ClaimTable | None = None
         self._pending: list[ClaimItem] = []
-        self._asked_by_attempt: dict[str, ClaimAsked] = {}
+        self._asked_by_attempt: dict[str, ClaimRequested] = {}
         self._appending = False
         self._next_quiet_append_at = self._environment.now() + QUIET_APPEND_S
         self.handle(ClaimBatchRead, self._on_batch)
-        self.handle(ClaimAsked, self._on_asked)
+        self.handle(ClaimRequested, self._on_asked)
         self.handle(ClaimEnded, self._on_ended)
         self.handle(AppendEnded, self._on_append_ended)
         self.handle(Tick, self._on_tick)
@@ -115,7 +115,7 @@
             self._release(asked.claim)
         asked.future.set_result(outcome)
 
-    def _on_asked(self, message: ClaimAsked) -> None:
+    def _on_asked(self, message: ClaimRequested) -> None:
         self._asked_by_attempt[message.claim.attempt_id] = message
         self._pending.append(message.claim)
         self._append_pending()
@@ -165,14 +165,14 @@
     def _on_tick(self, _: Tick) -> None:
         now = self._environment.now()
         for asked in list(self._asked_by_attempt.values()):
-            if now >= asked.give_up_at:
+            if now >= asked.deadline:
                 self._give_up(asked)
         self._append_pending()
         if now >= self._next_quiet_append_at and not self._appending:
             self._put_off_quiet_append()
             self._appender.append(group([]))
 
-    def _give_up(self, asked: ClaimAsked) -> None:
+    def _give_up(self, asked: ClaimRequested) -> None:
         """End a wait for a read-back; the decision never to send comes first."""
         del self._asked_by_attempt[asked.claim.attempt_id]
         self._environment.metrics.claims.labels(outcome="given_up").inc()
--- a/bamboovale/entry/keyed.py
+++ b/bamboovale/entry/keyed.py
@@ -8,7 +8,7 @@
 import pykka
 
 from bamboovale.actors import tell
-from bamboovale.claims.actor import ClaimAsked, ClaimEnded
+from bamboovale.claims.actor import ClaimRequested, ClaimEnded
 from bamboovale.claims.answers import (
     MAX_BODY_BYTES,
     AnswerState,
@@ -95,7 +95,7 @@
         now = self._environment.now()
         wait_s = min(CLAIM_WAIT_S, request.deadline_s or CLAIM_WAIT_S)
         future: Future[ClaimOutcome | None] = Future()
-        tell(self._claims, ClaimAsked(claim, now + wait_s, future))
+        tell(self._claims, ClaimRequested(claim, now + wait_s, future))
         return future.result()
 
     def _run(
--- a/tests/test_claims_actor.py
+++ b/tests/test_claims_actor.py
@@ -9,7 +9,7 @@
 import pytest
 
 from bamboovale.actors import Tick
-from bamboovale.claims.actor import ClaimActor, ClaimAsked, ClaimBatchRead
+from bamboovale.claims.actor import ClaimActor, ClaimRequested, ClaimBatchRead
 from bamboovale.claims.fold import ClaimOutcome, Verdict
 from bamboovale.claims.records import Claim, group
 from bamboovale.environment import Environment
@@ -78,7 +78,7 @@
         read = len(log.records)
         future: Future[ClaimOutcome | None] = Future()
         claim = Claim("k", "o", "body", "entry-1", "i2", "attempt-1")
-        new.ask(ClaimAsked(claim, log.now + 2.0, future))
+        new.ask(ClaimRequested(claim, log.now + 2.0, future))
         new.ask(ClaimBatchRead(log.read(read)))
         outcome = future.result(timeout=1)
         assert outcome is not None and outcome.verdict is Verdict.WON
--- a/tests/test_entry_keyed.py
+++ b/tests/test_entry_keyed.py
@@ -7,7 +7,7 @@
 import pykka
 import pytest
 
-from bamboovale.claims.actor import ClaimAsked, ClaimEnded
+from bamboovale.claims.actor import ClaimRequested, ClaimEnded
 from bamboovale.claims.answers import AnswerState, AnswerStore, KeptAnswer
 from bamboovale.claims.fold import ClaimOutcome, KeyReport, KeyState, Verdict
 from bamboovale.claims.records import Answered, Released
@@ -30,7 +30,7 @@
         self.ended: list[Any] = []
 
     def on_receive(self, message: Any) -> Any:
-        if isinstance(message, ClaimAsked):
+        if isinstance(message, ClaimRequested):
             holder = KeyReport(self._state, node="e9", attempt_id="first")
             outcome = ClaimOutcome(message.claim, self._verdict, holder)
             message.future.set_result(outcome)
