--- a/bamboovale/catalogue/fold.py
+++ b/bamboovale/catalogue/fold.py
@@ -32,9 +32,9 @@
 )
 from bamboovale.catalogue.history import (
     HISTORY_CHANGES_PER_EDIT,
+    EditHistory,
     EntryChange,
     HistoryRecord,
-    EditHistory,
 )
 from bamboovale.catalogue.index import EntryIndex, Tombstone
 from bamboovale.catalogue.rules import MAX_FINDINGS, find_conflicts, validate_changes
--- a/bamboovale/entry/keyed.py
+++ b/bamboovale/entry/keyed.py
@@ -8,7 +8,7 @@
 import pykka
 
 from bamboovale.actors import tell
-from bamboovale.claims.actor import ClaimRequested, ClaimEnded
+from bamboovale.claims.actor import ClaimEnded, ClaimRequested
 from bamboovale.claims.answers import (
     MAX_BODY_BYTES,
     AnswerState,
--- a/bamboovale/leases/actor.py
+++ b/bamboovale/leases/actor.py
@@ -17,7 +17,6 @@
     Renewed,
 )
 from bamboovale.leases.hand_over import HandOvers
-from bamboovale.leases.holding import HeldLease, OwnLeases
 from bamboovale.leases.messages import (
     LEASE_STREAM,
     WEIGHT_STORE,
@@ -30,6 +29,7 @@
     node_name,
     vm_of_node,
 )
+from bamboovale.leases.own_leases import HeldLease, OwnLeases
 from bamboovale.leases.records import Release, Take
 from bamboovale.leases.recovery import LeaseRecovery
 from bamboovale.leases.timing import LeaseTerms
--- a/bamboovale/leases/hand_over.py
+++ b/bamboovale/leases/hand_over.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Mapping, Sequence
 
-from bamboovale.leases.holding import HeldLease
+from bamboovale.leases.own_leases import HeldLease
 
 SETTLED_S = 3.0
 """A preferred holder must have been preferred for this long before a hand-over:
--- a/bamboovale/leases/messages.py
+++ b/bamboovale/leases/messages.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from bamboovale.leases.holding import HeldLease
+from bamboovale.leases.own_leases import HeldLease
 from bamboovale.log_service.log_client import RecordBatch
 
 LEASE_STREAM = "leases"
--- a/tests/test_claims_actor.py
+++ b/tests/test_claims_actor.py
@@ -9,7 +9,7 @@
 import pytest
 
 from bamboovale.actors import Tick
-from bamboovale.claims.actor import ClaimActor, ClaimRequested, ClaimBatchRead
+from bamboovale.claims.actor import ClaimActor, ClaimBatchRead, ClaimRequested
 from bamboovale.claims.fold import ClaimOutcome, Verdict
 from bamboovale.claims.records import Claim, group
 from bamboovale.environment import Environment
--- a/tests/test_entry_keyed.py
+++ b/tests/test_entry_keyed.py
@@ -7,7 +7,7 @@
 import pykka
 import pytest
 
-from bamboovale.claims.actor import ClaimRequested, ClaimEnded
+from bamboovale.claims.actor import ClaimEnded, ClaimRequested
 from bamboovale.claims.answers import AnswerState, AnswerStore, KeptAnswer
 from bamboovale.claims.fold import ClaimOutcome, KeyReport, KeyState, Verdict
 from bamboovale.claims.records import Answered, Released
--- a/tests/test_leases_fold.py
+++ b/tests/test_leases_fold.py
@@ -13,7 +13,7 @@
     Renewed,
     Void,
 )
-from bamboovale.leases.holding import OwnLeases
+from bamboovale.leases.own_leases import OwnLeases
 from bamboovale.leases.records import Release, Renewal, Reset, Take
 from bamboovale.leases.recovery import LeaseRecovery
 from bamboovale.leases.timing import LeaseTerms
--- a/tests/test_leases_machine.py
+++ b/tests/test_leases_machine.py
@@ -12,7 +12,7 @@
 )
 
 from bamboovale.leases.fold import LeaseGapError, LeaseTable, Moved
-from bamboovale.leases.holding import OwnLeases
+from bamboovale.leases.own_leases import OwnLeases
 from bamboovale.leases.records import Release, Take
 from bamboovale.leases.recovery import LeaseRecovery
 from bamboovale.leases.timing import LeaseTerms
