--- a/bamboovale/leases/actor.py
+++ b/bamboovale/leases/actor.py
@@ -165,7 +165,7 @@
             if isinstance(outcome, Cleared):
                 self._give_up_all()
             valid_before = self._valid_engines()
-            self._own.note_read(outcome)
+            self._own.apply(outcome)
             self._tell(outcome)
             for engine in self._valid_engines() - valid_before:
                 self._callbacks.on_valid(engine)
--- a/bamboovale/leases/own_leases.py
+++ b/bamboovale/leases/own_leases.py
@@ -69,7 +69,7 @@
         while len(self._ends_at_by_record_id) > MAX_PENDING:
             del self._ends_at_by_record_id[next(iter(self._ends_at_by_record_id))]
 
-    def note_read(self, outcome: LeaseOutcome | None) -> None:
+    def apply(self, outcome: LeaseOutcome | None) -> None:
         """Take in what the fold made of a record, own or another's."""
         if isinstance(outcome, Moved):
             self._note_move(outcome)
--- a/tests/test_leases_fold.py
+++ b/tests/test_leases_fold.py
@@ -123,7 +123,7 @@
         own = OwnLeases("a")
         own.note_sent(TAKE_A, now=10.0)
         assert own.fencing("engine-1", now=10.0) is None
-        own.note_read(table.apply(0, TAKE_A.to_json(), read_at=11.0))
+        own.apply(table.apply(0, TAKE_A.to_json(), read_at=11.0))
         assert own.fencing("engine-1", now=12.9) == 0
         assert own.fencing("engine-1", now=13.0) is None
 
@@ -131,7 +131,7 @@
         own = OwnLeases("a")
         own.note_sent(TAKE_A, now=10.0)
         own.note_sent(TAKE_A, now=12.0)
-        own.note_read(LeaseTable.empty().apply(0, TAKE_A.to_json(), read_at=12.5))
+        own.apply(LeaseTable.empty().apply(0, TAKE_A.to_json(), read_at=12.5))
         assert own.fencing("engine-1", now=13.5) is None
 
     def test_a_holder_stops_before_it_releases(self) -> None:
@@ -139,7 +139,7 @@
         # anything yet: it must have stopped by itself.
         own = OwnLeases("a")
         own.note_sent(TAKE_A, now=10.0)
-        own.note_read(LeaseTable.empty().apply(0, TAKE_A.to_json(), read_at=10.0))
+        own.apply(LeaseTable.empty().apply(0, TAKE_A.to_json(), read_at=10.0))
         own.let_go("engine-1")
         assert own.fencing("engine-1", now=10.1) is None
         assert not own.renewal("r2").fencing_by_engine
@@ -150,11 +150,11 @@
         table = fold(TAKE_A)
         own = OwnLeases("b")
         release = Release("r2", "a", "engine-1", fencing=0, next_node="b")
-        own.note_read(table.apply(1, release.to_json(), read_at=20.0))
+        own.apply(table.apply(1, release.to_json(), read_at=20.0))
         assert own.fencing("engine-1", now=20.0) is None
         renewal = own.renewal("r3")
         own.note_sent(renewal, now=20.0)
-        own.note_read(table.apply(2, renewal.to_json(), read_at=20.1))
+        own.apply(table.apply(2, renewal.to_json(), read_at=20.1))
         assert own.fencing("engine-1", now=20.1) == 1
 
 
@@ -184,7 +184,7 @@
         own = OwnLeases("a")
         take = replace(TAKE_A, term_s=10.0)
         own.note_sent(take, now=0.0)
-        own.note_read(LeaseTable.empty().apply(0, take.to_json(), read_at=0.1))
+        own.apply(LeaseTable.empty().apply(0, take.to_json(), read_at=0.1))
         assert own.fencing("engine-1", now=9.9) == 0
         assert own.fencing("engine-1", now=10.0) is None
 
@@ -250,8 +250,8 @@
         table = fold(TAKE_A)
         own = OwnLeases("a")
         own.note_sent(TAKE_A, now=0.0)
-        own.note_read(Moved(0, "r1", "engine-1", None, "a", 0, by_release=False))
+        own.apply(Moved(0, "r1", "engine-1", None, "a", 0, by_release=False))
         outcome = table.apply(1, Reset("r2", "b", after=0).to_json(), read_at=9.0)
         assert isinstance(outcome, Cleared)
-        own.note_read(outcome)
+        own.apply(outcome)
         assert not own.held_by_engine and not table.lease_by_engine
--- a/tests/test_leases_machine.py
+++ b/tests/test_leases_machine.py
@@ -132,7 +132,7 @@
                 return
             if isinstance(outcome, Moved):
                 self.check_fencing(outcome)
-            node.own.note_read(outcome)
+            node.own.apply(outcome)
 
     def recover(self, node: Node, recovery: LeaseRecovery) -> None:
         for offset in range(self.first, len(self.log)):
