--- a/bamboovale/leases/actor.py
+++ b/bamboovale/leases/actor.py
@@ -188,7 +188,7 @@
 
     def _give_up_all(self) -> None:
         for engine in list(self._own.held_by_engine):
-            self._own.let_go(engine)
+            self._own.drop(engine)
             self._callbacks.on_lost(engine)
 
     def _tell(self, outcome: LeaseOutcome | None) -> None:
@@ -271,7 +271,7 @@
             received = self._views.hint_by_engine.get(engine)
             if received is not None and received.hint.fencing > held.fencing:
                 self._environment.metrics.leases_lost.inc()
-                self._own.let_go(engine)
+                self._own.drop(engine)
                 self._callbacks.on_lost(engine)
 
     def _wanted(self) -> list[str]:
@@ -371,7 +371,7 @@
     def _release(self, engine: str, successor: str | None) -> None:
         """Stop acting as holder first, then say so on the log."""
         held = self._own.held_by_engine[engine]
-        self._own.let_go(engine)
+        self._own.drop(engine)
         self._callbacks.on_lost(engine)
         record = Release(
             record_id=self._record_id(),
--- a/bamboovale/leases/own_leases.py
+++ b/bamboovale/leases/own_leases.py
@@ -78,7 +78,7 @@
         elif isinstance(outcome, Cleared):
             self._held_by_engine.clear()
 
-    def let_go(self, engine: str) -> None:
+    def drop(self, engine: str) -> None:
         """Stop acting as holder, before the release is sent."""
         self._held_by_engine.pop(engine, None)
 
--- a/tests/test_leases_fold.py
+++ b/tests/test_leases_fold.py
@@ -140,7 +140,7 @@
         own = OwnLeases("a")
         own.note_sent(TAKE_A, now=10.0)
         own.apply(LeaseTable.empty().apply(0, TAKE_A.to_json(), read_at=10.0))
-        own.let_go("engine-1")
+        own.drop("engine-1")
         assert own.fencing("engine-1", now=10.1) is None
         assert not own.renewal("r2").fencing_by_engine
 
--- a/tests/test_leases_machine.py
+++ b/tests/test_leases_machine.py
@@ -188,7 +188,7 @@
         held = holder.own.held_by_engine.get(engine)
         if held is None:
             return
-        holder.own.let_go(engine)
+        holder.own.drop(engine)
         next_node = self.nodes[successor].id if successor >= 0 else None
         record_id = holder.next_record_id()
         self.send(
