--- a/bamboovale/leases/actor.py
+++ b/bamboovale/leases/actor.py
@@ -424,7 +424,7 @@
         if known is not None and known.fencing > held.fencing:
             return
         logger.info("lease on %s: kept, its release failed", held.engine)
-        self._own.take_back(held)
+        self._own.restore(held)
         self._hold(held.engine, held.fencing)
 
     def _record_id(self) -> str:
--- a/bamboovale/leases/own_leases.py
+++ b/bamboovale/leases/own_leases.py
@@ -82,7 +82,7 @@
         """Stop acting as holder, before the release is sent."""
         self._held_by_engine.pop(engine, None)
 
-    def take_back(self, held: HeldLease) -> None:
+    def restore(self, held: HeldLease) -> None:
         """Act as holder again: the release was refused, so nobody else can."""
         self._held_by_engine.setdefault(held.engine, held)
 
