--- a/bamboovale/leases/actor.py
+++ b/bamboovale/leases/actor.py
@@ -148,7 +148,7 @@
         rank = self._rank(WEIGHT_STORE, None)
         if recovery is None or rank is None or not self._health.reachable:
             return
-        due = recovery.may_reset_at(self._terms, rank)
+        due = recovery.reset_allowed_at(self._terms, rank)
         if now < max(due, self._reset_sent_at + TAKE_AGAIN_S):
             return
         self._reset_sent_at = now
@@ -305,7 +305,7 @@
         rank = self._rank(engine, vm_of_node(lease.holder) if lease else None)
         if rank is None or not self._health.reachable:
             return
-        due = self._terms.may_take_at(lease, rank, first_seen)
+        due = self._terms.take_allowed_at(lease, rank, first_seen)
         if lease is not None and lease.holder is not None:
             # After an outage the holder's renewal and this take would race: the
             # holder, whose engine is warm, gets a term to renew first.
--- a/bamboovale/leases/recovery.py
+++ b/bamboovale/leases/recovery.py
@@ -53,7 +53,7 @@
         """Return the record that ends every lease."""
         return Reset(record_id, node, after=self._next_offset - 1)
 
-    def may_reset_at(self, terms: LeaseTerms, rank: int) -> float:
+    def reset_allowed_at(self, terms: LeaseTerms, rank: int) -> float:
         """Return from when a reset may be appended; rank 0 is first in turn.
 
         Records that are not known here may have named any term.
--- a/bamboovale/leases/timing.py
+++ b/bamboovale/leases/timing.py
@@ -57,7 +57,7 @@
             renew_every_s=self.renew_every_s * term_s / self.term_s,
         )
 
-    def may_take_at(self, lease: Lease | None, rank: int, now: float) -> float:
+    def take_allowed_at(self, lease: Lease | None, rank: int, now: float) -> float:
         """Return from when a node may append a take; rank 0 is first in turn.
 
         ``now`` stands for an engine that never had a lease or was released to
--- a/tests/test_leases_fold.py
+++ b/tests/test_leases_fold.py
@@ -110,13 +110,13 @@
 
     def test_a_taker_waits_from_when_it_read(self) -> None:
         lease = fold(TAKE_A).lease_by_engine["engine-1"]
-        assert self.terms.may_take_at(lease, 0, 100.0) == pytest.approx(
+        assert self.terms.take_allowed_at(lease, 0, 100.0) == pytest.approx(
             3.5606, abs=1e-4
         )
-        assert self.terms.may_take_at(lease, 2, 100.0) == pytest.approx(
+        assert self.terms.take_allowed_at(lease, 2, 100.0) == pytest.approx(
             4.0606, abs=1e-4
         )
-        assert self.terms.may_take_at(None, 1, 100.0) == pytest.approx(100.25)
+        assert self.terms.take_allowed_at(None, 1, 100.0) == pytest.approx(100.25)
 
     def test_a_renewal_counts_once_it_is_read_back(self) -> None:
         table = LeaseTable.empty()
@@ -170,7 +170,7 @@
     def test_a_long_take_is_waited_for(self) -> None:
         table = fold(replace(TAKE_A, term_s=10.0))
         lease = table.lease_by_engine["engine-1"]
-        assert self.terms.may_take_at(lease, 0, 0.0) == 10.5
+        assert self.terms.take_allowed_at(lease, 0, 0.0) == 10.5
 
     def test_a_shorter_renewal_does_not_end_a_longer_term(self) -> None:
         table = fold(
@@ -178,7 +178,7 @@
             Renewal("r2", "a", {"engine-1": 0}, term_s=1.0),
         )
         lease = table.lease_by_engine["engine-1"]
-        assert self.terms.may_take_at(lease, 0, 0.0) == 11.5
+        assert self.terms.take_allowed_at(lease, 0, 0.0) == 11.5
 
     def test_the_holder_counts_the_term_that_it_named(self) -> None:
         own = OwnLeases("a")
@@ -227,7 +227,7 @@
         log: list[Any] = [None, None, Renewal("r1", "dead", {"engine-1": 0}).to_json()]
         recovery = LeaseRecovery(first=2, now=100.0)
         assert recovery.add(2, log[2], read_at=101.0) is None
-        assert recovery.may_reset_at(self.terms, rank=0) == 104.5
+        assert recovery.reset_allowed_at(self.terms, rank=0) == 104.5
         reset = recovery.reset("r2", "a").to_json()
         table = recovery.add(3, reset, read_at=105.0)
         assert table is not None and table.next_offset == 4
--- a/tests/test_leases_machine.py
+++ b/tests/test_leases_machine.py
@@ -151,7 +151,7 @@
         if actor.recovery is None:
             return
         clock = actor.clock(self.now)
-        due = actor.recovery.may_reset_at(TERMS, rank=0)
+        due = actor.recovery.reset_allowed_at(TERMS, rank=0)
         self.now += max(0.0, (due - clock) / actor.rate)
         if actor.clock(self.now) >= due:
             self.send(actor, actor.recovery.reset(actor.next_record_id(), actor.id))
@@ -176,7 +176,7 @@
             return
         lease = taker.table.lease_by_engine.get(engine)
         clock = taker.clock(self.now)
-        if clock < TERMS.may_take_at(lease, rank=0, now=clock):
+        if clock < TERMS.take_allowed_at(lease, rank=0, now=clock):
             return
         after = taker.table.last_offset(engine)
         record_id = taker.next_record_id()
@@ -202,7 +202,7 @@
         self.read_on(taker, 99)
         lease = taker.table.lease_by_engine.get(engine)
         clock = taker.clock(self.now)
-        due = TERMS.may_take_at(lease, rank=0, now=clock)
+        due = TERMS.take_allowed_at(lease, rank=0, now=clock)
         self.now += max(0.0, (due - clock) / taker.rate)
         self.take_when_due(node, engine)
         if at_once:
