--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -50,7 +50,7 @@
 from bamboovale.entry.state_dump import StateDump, as_json
 from bamboovale.environment import Environment
 from bamboovale.http_client import HttpClient
-from bamboovale.leases.actor import START_BEHIND, LeaseActor
+from bamboovale.leases.actor import MAX_START_BACKLOG, LeaseActor
 from bamboovale.leases.messages import (
     LEASE_STREAM,
     WEIGHT_STORE,
@@ -304,7 +304,7 @@
             follow(
                 LEASE_STREAM,
                 lambda batch, at: tell(self._leases, LeaseBatchRead(batch, at)),
-                start_behind=START_BEHIND,
+                max_backlog=MAX_START_BACKLOG,
                 pace_s=LEASE_PACE_S,
             ),
             follow(
--- a/bamboovale/leases/actor.py
+++ b/bamboovale/leases/actor.py
@@ -48,7 +48,7 @@
 SNAPSHOT_EVERY_S = 30.0
 """A VM that starts behind expired records waits at most this long for a snapshot."""
 
-START_BEHIND = 5000
+MAX_START_BACKLOG = 5000
 """How far before the stream's end a VM begins to read. It holds a snapshot even at
 100 renewals a second; reading an hour of renewals would delay each start."""
 
--- a/bamboovale/log_service/follower.py
+++ b/bamboovale/log_service/follower.py
@@ -53,7 +53,7 @@
 class StreamFollower:
     """A thread that reads a stream for ever, from its beginning.
 
-    With ``start_behind`` it begins at most that many records before the stream's end.
+    With ``max_backlog`` it begins at most that many records before the stream's end.
     ``pace_s`` is a pause after each read that brought records: on a stream to which
     every entry VM appends, each append would otherwise cost every VM a call.
     ``limit`` bounds the records of one read.
@@ -66,7 +66,7 @@
         health: LogHealth,
         stream: str,
         on_batch: Callable[[RecordBatch, float], None],
-        start_behind: int | None = None,
+        max_backlog: int | None = None,
         pace_s: float = 0.0,
         limit: int = MAX_RECORDS_PER_READ,
     ) -> None:
@@ -76,7 +76,7 @@
         self._stream = stream
         self._on_batch = on_batch
         self._next = 0
-        self._start_behind = start_behind
+        self._max_backlog = max_backlog
         self._pace_s = pace_s
         self._limit = limit
         self._stopped = threading.Event()
@@ -121,7 +121,7 @@
 
     def _skip_to_start(self, batch: RecordBatch) -> bool:
         """Skip what lies too far behind, once; the batch is then not handed on."""
-        behind, self._start_behind = self._start_behind, None
+        behind, self._max_backlog = self._max_backlog, None
         if behind is None or batch.end - behind <= batch.first:
             return False
         self._next = batch.end - behind
