--- a/bamboovale/claims/actor.py
+++ b/bamboovale/claims/actor.py
@@ -35,14 +35,14 @@
 
 @dataclass(frozen=True)
 class ClaimRequested:
-    """A caller's thread wants a claim; ``give_up_at`` is on the monotonic clock.
+    """A caller's thread wants a claim; ``deadline`` is on the monotonic clock.
 
     The future brings the outcome, or None if the claim did not come about: the
     attempt is then never sent.
     """
 
     claim: Claim
-    give_up_at: float
+    deadline: float
     future: "Future[ClaimOutcome | None]"
 
 
--- a/bamboovale/claims/fold.py
+++ b/bamboovale/claims/fold.py
@@ -81,7 +81,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeyReport:
+class KeyInfo:
     """A key's state and, if it is claimed, whose attempt holds it."""
 
     state: KeyState
@@ -97,7 +97,7 @@
 
     claim: Claim
     verdict: Verdict
-    holder: KeyReport
+    holder: KeyInfo
 
 
 @dataclass(slots=True)
@@ -193,13 +193,13 @@
                 self.unreadable_items += 1
         return outcomes
 
-    def report(self, owner: str, key: str, body_hash: str) -> KeyReport:
+    def lookup(self, owner: str, key: str, body_hash: str) -> KeyInfo:
         """Return what is known of a key, before a claim is written."""
         record = self._record_by_digest.get(key_digest(owner, key))
         if record is None:
             state = KeyState.FREE if self.is_complete else KeyState.UNKNOWN
-            return KeyReport(state)
-        return _report_of(record, body_hash)
+            return KeyInfo(state)
+        return _key_info(record, body_hash)
 
     def _claim(self, claim: Claim) -> ClaimOutcome:
         digest = key_digest(claim.owner, claim.key)
@@ -210,12 +210,12 @@
                 return ClaimOutcome(
                     claim,
                     Verdict.TABLE_FULL,
-                    KeyReport(KeyState.FREE),
+                    KeyInfo(KeyState.FREE),
                 )
             record = self._new_record(claim.owner)
         self._touch(digest, record)
         verdict = self._judge(claim, record)
-        return ClaimOutcome(claim, verdict, _report_of(record, claim.body_hash))
+        return ClaimOutcome(claim, verdict, _key_info(record, claim.body_hash))
 
     def _judge(self, claim: Claim, record: _KeyRecord) -> Verdict:
         if record.unsure:
@@ -301,18 +301,18 @@
     return int.from_bytes(digest, "big")
 
 
-def _report_of(record: _KeyRecord, body_hash: str) -> KeyReport:
+def _key_info(record: _KeyRecord, body_hash: str) -> KeyInfo:
     if record.unsure:
-        return KeyReport(KeyState.UNKNOWN)
+        return KeyInfo(KeyState.UNKNOWN)
     if record.attempt_id is None:
-        return KeyReport(KeyState.FREE)
+        return KeyInfo(KeyState.FREE)
     if record.body_digest != _body_digest(body_hash):
         state = KeyState.BODY_DIFFERS
     elif record.status is None:
         state = KeyState.CLAIMED
     else:
         state = KeyState.ANSWERED
-    return KeyReport(
+    return KeyInfo(
         state=state,
         node=record.node,
         incarnation=record.incarnation,
--- a/bamboovale/entry/keyed.py
+++ b/bamboovale/entry/keyed.py
@@ -15,7 +15,7 @@
     AnswerStore,
     KeptAnswer,
 )
-from bamboovale.claims.fold import ClaimOutcome, KeyReport, Verdict
+from bamboovale.claims.fold import ClaimOutcome, KeyInfo, Verdict
 from bamboovale.claims.records import Answered, Claim, Released
 from bamboovale.entry.caller_request import CallerRequest
 from bamboovale.entry.ending import CallerAnswer, ClosingChunks, Ending
@@ -152,7 +152,7 @@
             return self._answer_repeat(request, outcome.holder)
         return self._unknown(request, "nobody can tell whether this key ran before")
 
-    def _answer_repeat(self, request: CallerRequest, holder: KeyReport) -> CallerAnswer:
+    def _answer_repeat(self, request: CallerRequest, holder: KeyInfo) -> CallerAnswer:
         """Give a repeat the first attempt's answer, once there is one."""
         wait_s = min(LONGEST_POLL_S, request.deadline_s or LONGEST_POLL_S)
         give_up_at = self._environment.now() + wait_s
--- a/tests/test_claims_fold.py
+++ b/tests/test_claims_fold.py
@@ -28,7 +28,7 @@
     def test_the_first_in_log_order_wins(self) -> None:
         table = ClaimTable()
         assert apply(table, claim("a"), claim("b")) == [Verdict.WON, Verdict.LOST]
-        assert table.report("o", "k", "body").attempt_id == "a"
+        assert table.lookup("o", "k", "body").attempt_id == "a"
 
     def test_customers_do_not_share_keys(self) -> None:
         table = ClaimTable()
@@ -44,12 +44,12 @@
         table = ClaimTable()
         apply(table, claim("a"))
         assert apply(table, claim("b", body="x")) == [Verdict.BODY_DIFFERS]
-        assert table.report("o", "k", "x").state is KeyState.BODY_DIFFERS
+        assert table.lookup("o", "k", "x").state is KeyState.BODY_DIFFERS
 
     def test_a_release_by_the_winner_alone_frees_the_key(self) -> None:
         table = ClaimTable()
         apply(table, claim("a"), claim("b"), Released("k", "o", "b"))
-        assert table.report("o", "k", "body").attempt_id == "a"
+        assert table.lookup("o", "k", "body").attempt_id == "a"
         apply(table, Released("k", "o", "a"))
         assert apply(table, claim("c", body="x")) == [Verdict.WON]
 
@@ -72,7 +72,7 @@
         table = ClaimTable()
         answered = Answered("k", "o", "a", 201)
         apply(table, claim("a"), answered, Released("k", "o", "a"))
-        report = table.report("o", "k", "body")
+        report = table.lookup("o", "k", "body")
         assert (report.state, report.status) == (KeyState.ANSWERED, 201)
 
     def test_unreadable_items_are_counted(self) -> None:
@@ -121,7 +121,7 @@
         # A VM starts when older claims have expired on the log. One of them may
         # have run this key; the VM must not send it.
         table = ClaimTable.after_gap(7, horizon_s=100)
-        assert table.report("o", "k", "body").state is KeyState.UNKNOWN
+        assert table.lookup("o", "k", "body").state is KeyState.UNKNOWN
         assert apply(table, claim("a"), at=50) == [Verdict.UNKNOWN]
         apply(table, Released("k", "o", "a"), at=60)
         assert apply(table, claim("b"), at=149) == [Verdict.UNKNOWN]
--- a/tests/test_entry_keyed.py
+++ b/tests/test_entry_keyed.py
@@ -9,7 +9,7 @@
 
 from bamboovale.claims.actor import ClaimEnded, ClaimRequested
 from bamboovale.claims.answers import AnswerState, AnswerStore, KeptAnswer
-from bamboovale.claims.fold import ClaimOutcome, KeyReport, KeyState, Verdict
+from bamboovale.claims.fold import ClaimOutcome, KeyInfo, KeyState, Verdict
 from bamboovale.claims.records import Answered, Released
 from bamboovale.entry.caller_request import CallerRequest
 from bamboovale.entry.ending import CallerAnswer, Ending
@@ -31,7 +31,7 @@
 
     def on_receive(self, message: Any) -> Any:
         if isinstance(message, ClaimRequested):
-            holder = KeyReport(self._state, node="e9", attempt_id="first")
+            holder = KeyInfo(self._state, node="e9", attempt_id="first")
             outcome = ClaimOutcome(message.claim, self._verdict, holder)
             message.future.set_result(outcome)
         elif isinstance(message, ClaimEnded):
