--- a/bamboovale/claims/actor.py
+++ b/bamboovale/claims/actor.py
@@ -8,7 +8,7 @@
 
 from bamboovale.actors import MessageActor, Tick, tell
 from bamboovale.claims.fold import ClaimGapError, ClaimOutcome, ClaimTable, Verdict
-from bamboovale.claims.records import Answered, Claim, ClaimItem, Released, group
+from bamboovale.claims.records import Answered, Claim, ClaimItem, Released, encode_items
 from bamboovale.environment import Environment
 from bamboovale.log_service.appender import Appender
 from bamboovale.log_service.log_client import LogFailure, RecordBatch
@@ -145,7 +145,7 @@
                         tell(self.actor_ref, ClaimEnded(item))
             tell(self.actor_ref, AppendEnded(attempts, result))
 
-        self._appender.append(group(items), on_end)
+        self._appender.append(encode_items(items), on_end)
 
     def _on_append_ended(self, message: AppendEnded) -> None:
         self._appending = False
@@ -170,7 +170,7 @@
         self._append_pending()
         if now >= self._next_quiet_append_at and not self._appending:
             self._put_off_quiet_append()
-            self._appender.append(group([]))
+            self._appender.append(encode_items([]))
 
     def _give_up(self, asked: ClaimRequested) -> None:
         """End a wait for a read-back; the decision never to send comes first."""
--- a/bamboovale/claims/records.py
+++ b/bamboovale/claims/records.py
@@ -82,7 +82,7 @@
 ClaimItem = Claim | Released | Answered
 
 
-def group(items: Iterable[ClaimItem]) -> dict[str, Any]:
+def encode_items(items: Iterable[ClaimItem]) -> dict[str, Any]:
     """Return one value for the log that carries all items in their order."""
     records: list[dict[str, Any]] = []
     for item in items:
--- a/bench/records_slope.py
+++ b/bench/records_slope.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from bamboovale.claims.fold import ClaimTable
-from bamboovale.claims.records import Claim, group
+from bamboovale.claims.records import Claim, encode_items
 from bamboovale.leases.fold import LeaseTable
 from bamboovale.leases.records import Renewal, Take
 
@@ -42,7 +42,7 @@
             )
             for number in range(first, first + CLAIMS_PER_APPEND)
         ]
-        text = json.dumps(group(items))
+        text = json.dumps(encode_items(items))
         size += len(text)
         value = json.loads(text)
         started = time.process_time()
--- a/tests/test_claims_actor.py
+++ b/tests/test_claims_actor.py
@@ -11,7 +11,7 @@
 from bamboovale.actors import Tick
 from bamboovale.claims.actor import ClaimActor, ClaimBatchRead, ClaimRequested
 from bamboovale.claims.fold import ClaimOutcome, Verdict
-from bamboovale.claims.records import Claim, group
+from bamboovale.claims.records import Claim, encode_items
 from bamboovale.environment import Environment
 from bamboovale.log_service.log_client import LogRecord, RecordBatch
 from bamboovale.metrics import Metrics
@@ -66,7 +66,9 @@
         # is replaced; each booking that reaches it is told "outcome unknown", because
         # the VM cannot tell a quiet stream from claims that it did not read.
         old = start(log)
-        log.append(group([Claim("j", "o", "body", "entry-1", "i1", "attempt-0")]))
+        log.append(
+            encode_items([Claim("j", "o", "body", "entry-1", "i1", "attempt-0")])
+        )
         read = 0
         for _ in range(900):
             old.ask(ClaimBatchRead(log.read(read)))
--- a/tests/test_claims_fold.py
+++ b/tests/test_claims_fold.py
@@ -8,7 +8,7 @@
     Claim,
     ClaimItem,
     Released,
-    group,
+    encode_items,
     partition_of,
 )
 
@@ -18,7 +18,7 @@
 
 
 def apply(table: ClaimTable, *items: ClaimItem, at: float = 0.0) -> list[Verdict]:
-    outcomes = table.apply(table.next_offset, group(items), at)
+    outcomes = table.apply(table.next_offset, encode_items(items), at)
     return [outcome.verdict for outcome in outcomes]
 
 
--- a/tests/test_claims_machine.py
+++ b/tests/test_claims_machine.py
@@ -12,7 +12,7 @@
 )
 
 from bamboovale.claims.fold import ClaimGapError, ClaimTable, Verdict
-from bamboovale.claims.records import Answered, Claim, ClaimItem, Released, group
+from bamboovale.claims.records import Answered, Claim, ClaimItem, Released, encode_items
 
 NODES = 3
 KEYS = ("a", "b", "c")
@@ -64,7 +64,7 @@
     @rule(node=nodes)
     def commit(self, node: int) -> None:
         writer = self.nodes[node]
-        self.in_flight.append(group(writer.group))
+        self.in_flight.append(encode_items(writer.group))
         writer.group = []
 
     @rule(index=st.integers(0, 9), keep=st.booleans())
