--- a/bamboovale/claims/answers.py
+++ b/bamboovale/claims/answers.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class KeptAnswer:
+class StoredAnswer:
     """An attempt's end; status, headers and body only where ``ANSWERED``."""
 
     state: AnswerState
@@ -35,29 +35,29 @@
     """Answers by attempt id, bounded in bytes."""
 
     def __init__(self) -> None:
-        self._answer_by_attempt: OrderedDict[str, KeptAnswer] = OrderedDict()
+        self._answer_by_attempt: OrderedDict[str, StoredAnswer] = OrderedDict()
         self._total_bytes = 0
         self._lock = threading.Lock()
 
     def begin(self, attempt_id: str) -> None:
         """Note that an attempt is under way."""
-        self._put(attempt_id, KeptAnswer(AnswerState.RUNNING))
+        self._put(attempt_id, StoredAnswer(AnswerState.RUNNING))
 
-    def end(self, attempt_id: str, answer: KeptAnswer) -> None:
+    def end(self, attempt_id: str, answer: StoredAnswer) -> None:
         """Note how an attempt ended."""
         if len(answer.body) > MAX_BODY_BYTES:
-            answer = KeptAnswer(AnswerState.UNKNOWN)
+            answer = StoredAnswer(AnswerState.UNKNOWN)
         self._put(attempt_id, answer)
 
-    def find(self, attempt_id: str) -> KeptAnswer:
+    def find(self, attempt_id: str) -> StoredAnswer:
         """Return what is known of an attempt of this VM."""
         with self._lock:
             return self._answer_by_attempt.get(
                 attempt_id,
-                KeptAnswer(AnswerState.UNKNOWN),
+                StoredAnswer(AnswerState.UNKNOWN),
             )
 
-    def _put(self, attempt_id: str, answer: KeptAnswer) -> None:
+    def _put(self, attempt_id: str, answer: StoredAnswer) -> None:
         with self._lock:
             before = self._answer_by_attempt.pop(attempt_id, None)
             if before is not None:
@@ -69,6 +69,6 @@
                 self._total_bytes -= _size(oldest)
 
 
-def _size(answer: KeptAnswer) -> int:
+def _size(answer: StoredAnswer) -> int:
     headers = sum(len(name) + len(value) for name, value in answer.headers)
     return 200 + headers + len(answer.body)
--- a/bamboovale/entry/keyed.py
+++ b/bamboovale/entry/keyed.py
@@ -13,7 +13,7 @@
     MAX_BODY_BYTES,
     AnswerState,
     AnswerStore,
-    KeptAnswer,
+    StoredAnswer,
 )
 from bamboovale.claims.fold import ClaimOutcome, KeyInfo, Verdict
 from bamboovale.claims.records import Answered, Claim, Released
@@ -30,7 +30,7 @@
 LONGEST_POLL_S = 10.0
 """How long a repeat waits for the answer of the attempt that runs."""
 
-FindAnswer = Callable[[str, str], KeptAnswer]
+FindAnswer = Callable[[str, str], StoredAnswer]
 
 
 class KeyedRequests:
@@ -107,7 +107,7 @@
         try:
             answer = run()
         except BaseException:
-            self._settle(claim, KeptAnswer(AnswerState.UNKNOWN))
+            self._settle(claim, StoredAnswer(AnswerState.UNKNOWN))
             raise
         copy = _Copy(answer)
 
@@ -117,7 +117,7 @@
         chunks = ClosingChunks(copy, settle)
         return CallerAnswer(answer.status, answer.headers, chunks, answer.ending)
 
-    def _settle(self, claim: Claim, kept: KeptAnswer) -> None:
+    def _settle(self, claim: Claim, kept: StoredAnswer) -> None:
         self._answers.end(claim.attempt_id, kept)
         item: Answered | Released
         if kept.state is AnswerState.NOT_RUN:
@@ -219,14 +219,14 @@
         if close_chunks is not None:
             close_chunks()
 
-    def kept(self) -> KeptAnswer:
+    def kept(self) -> StoredAnswer:
         """Return what is kept for repeats."""
         answer = self._answer
         state = _final_state(answer.ending)
         if state is AnswerState.ANSWERED and not self._whole:
             state = AnswerState.UNKNOWN
         headers = tuple(answer.headers)
-        return KeptAnswer(state, answer.status, headers, bytes(self._kept))
+        return StoredAnswer(state, answer.status, headers, bytes(self._kept))
 
 
 def _final_state(ending: Ending) -> AnswerState:
--- a/bamboovale/entry/peer_exchange.py
+++ b/bamboovale/entry/peer_exchange.py
@@ -9,7 +9,7 @@
 
 from bamboovale.actors import tell, tell_result
 from bamboovale.catalogue.actor import CATALOGUE_STREAM, PeerSnapshotReceived
-from bamboovale.claims.answers import AnswerState, AnswerStore, KeptAnswer
+from bamboovale.claims.answers import AnswerState, AnswerStore, StoredAnswer
 from bamboovale.decisions.suspects import CrashNotice
 from bamboovale.decisions.work import Permit
 from bamboovale.engines.messages import (
@@ -104,7 +104,7 @@
             }
         )
 
-    def find_answer(self, vm_id: str, attempt_id: str) -> KeptAnswer:
+    def find_answer(self, vm_id: str, attempt_id: str) -> StoredAnswer:
         """Return an attempt's answer from the VM that ran it; blocks a little."""
         if vm_id == self._own_id:
             return self._answers.find(attempt_id)
@@ -112,10 +112,10 @@
         try:
             kept = future.result(2 * TIMEOUT_S)
         except Exception:  # any failure of the link: nobody can tell
-            return KeptAnswer(AnswerState.UNKNOWN)
+            return StoredAnswer(AnswerState.UNKNOWN)
         if not isinstance(kept, AnswerKept):
-            return KeptAnswer(AnswerState.UNKNOWN)
-        return KeptAnswer(
+            return StoredAnswer(AnswerState.UNKNOWN)
+        return StoredAnswer(
             AnswerState(kept.state),
             kept.status,
             kept.headers,
--- a/tests/test_entry_keyed.py
+++ b/tests/test_entry_keyed.py
@@ -8,7 +8,7 @@
 import pytest
 
 from bamboovale.claims.actor import ClaimEnded, ClaimRequested
-from bamboovale.claims.answers import AnswerState, AnswerStore, KeptAnswer
+from bamboovale.claims.answers import AnswerState, AnswerStore, StoredAnswer
 from bamboovale.claims.fold import ClaimOutcome, KeyInfo, KeyState, Verdict
 from bamboovale.claims.records import Answered, Released
 from bamboovale.entry.caller_request import CallerRequest
@@ -48,7 +48,7 @@
         self,
         verdict: Verdict = Verdict.WON,
         state: KeyState = KeyState.CLAIMED,
-        kept: KeptAnswer | None = None,
+        kept: StoredAnswer | None = None,
         log_reachable: bool = True,
     ) -> None:
         self.runs = 0
@@ -62,7 +62,7 @@
             ),
             self.claims,
             self.answers,
-            lambda vm_id, attempt_id: kept or KeptAnswer(AnswerState.UNKNOWN),
+            lambda vm_id, attempt_id: kept or StoredAnswer(AnswerState.UNKNOWN),
             lambda: log_reachable,
         )
 
@@ -150,7 +150,7 @@
     """A repeat never runs; it gets the first answer or an honest word."""
 
     def test_it_gets_the_first_answer_under_its_own_id(self) -> None:
-        kept = KeptAnswer(
+        kept = StoredAnswer(
             AnswerState.ANSWERED,
             201,
             (("X-Request-Id", "first"), ("Content-Length", "6")),
@@ -171,7 +171,7 @@
             (Verdict.TABLE_FULL, None, ErrorCode.OVERLOADED, True),
             (
                 Verdict.LOST,
-                KeptAnswer(AnswerState.NOT_RUN),
+                StoredAnswer(AnswerState.NOT_RUN),
                 ErrorCode.OVERLOADED,
                 True,
             ),
@@ -180,7 +180,7 @@
     def test_what_else_it_may_hear(
         self,
         verdict: Verdict,
-        kept: KeptAnswer | None,
+        kept: StoredAnswer | None,
         code: ErrorCode,
         not_run: bool,
     ) -> None:
