--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -63,7 +63,7 @@
 from bamboovale.log_service.follower import LogHealth, StreamFollower
 from bamboovale.log_service.log_client import LogClient, RecordBatch
 from bamboovale.membership.actor import (
-    DrainBegun,
+    DrainStarted,
     DumpMembership,
     HintMade,
     HolderStopped,
@@ -358,7 +358,7 @@
         self.environment.metrics.drains.inc()
         logger.info("draining")
         self.views.draining = True
-        tell(self._membership, DrainBegun())
+        tell(self._membership, DrainStarted())
         tell(self._leases, HandOverAll())
         time.sleep(settings.entries_ttl_s + settings.hint_interval_s)
         self._caller_app.closed = True
--- a/bamboovale/membership/actor.py
+++ b/bamboovale/membership/actor.py
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True)
-class DrainBegun:
+class DrainStarted:
     """A planned stop of this VM began."""
 
 
@@ -163,7 +163,7 @@
         self.handle(StatusReceived, self._on_status)
         self.handle(HintMade, self._on_hint)
         self.handle(HolderStopped, self._on_holder_stopped)
-        self.handle(DrainBegun, self._on_drain)
+        self.handle(DrainStarted, self._on_drain)
         self.handle(Tick, self._on_tick)
         self.handle(DumpMembership, self._on_dump)
 
@@ -214,7 +214,7 @@
     def _on_holder_stopped(self, message: HolderStopped) -> None:
         self._own_hint_by_engine.pop(message.engine_id, None)
 
-    def _on_drain(self, _: DrainBegun) -> None:
+    def _on_drain(self, _: DrainStarted) -> None:
         self._draining = True
         self._next_status_at = 0.0
         self._judge_peers(self._environment.now())
