--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -65,7 +65,7 @@
 from bamboovale.membership.actor import (
     DrainStarted,
     DumpMembership,
-    HintMade,
+    HintUpdated,
     HolderStopped,
     MembershipActor,
     MembershipCallbacks,
@@ -135,7 +135,7 @@
         self._turn_routes = TurnRoutes(settings.id, self._links, self._holders)
         self._holder_links = HolderLinksToVM(
             load_turns=self._turn_routes,
-            on_hint=lambda hint: tell(self._membership, HintMade(hint)),
+            on_hint=lambda hint: tell(self._membership, HintUpdated(hint)),
             on_started=self._ask_permits_held,
             on_stopped=lambda engine_id: tell(
                 self._membership,
--- a/bamboovale/membership/actor.py
+++ b/bamboovale/membership/actor.py
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True)
-class HintMade:
+class HintUpdated:
     """A hint about an engine held here."""
 
     hint: EngineHint
@@ -161,7 +161,7 @@
         self._seen_log_at = environment.now()
         self.handle(VMListRead, self._on_list)
         self.handle(StatusReceived, self._on_status)
-        self.handle(HintMade, self._on_hint)
+        self.handle(HintUpdated, self._on_hint)
         self.handle(HolderStopped, self._on_holder_stopped)
         self.handle(DrainStarted, self._on_drain)
         self.handle(Tick, self._on_tick)
@@ -197,7 +197,7 @@
         if before is None or flags != (before.notice.draining, before.notice.serving):
             self._judge_peers(now)
 
-    def _on_hint(self, message: HintMade) -> None:
+    def _on_hint(self, message: HintUpdated) -> None:
         hint = message.hint
         self._own_hint_by_engine[hint.engine_id] = hint
         self._take_hint(hint, self._own_id, self._environment.now())
