--- a/bamboovale/membership/actor.py
+++ b/bamboovale/membership/actor.py
@@ -87,11 +87,11 @@
 
 
 @dataclass(frozen=True)
-class HeardPeer:
+class PeerStatus:
     """The last word of a peer."""
 
     notice: StatusNotice
-    heard_at: float
+    last_seen_at: float
 
 
 @dataclass(frozen=True)
@@ -154,7 +154,7 @@
         self._list_read = False
         self._draining = False
         self._serving = False
-        self._heard_by_vm: dict[str, HeardPeer] = {}
+        self._status_by_vm: dict[str, PeerStatus] = {}
         self._own_hint_by_engine: dict[str, EngineHint] = {}
         self._next_status_at = 0.0
         self._told_last = 0
@@ -184,8 +184,8 @@
     def _on_status(self, message: StatusReceived) -> None:
         notice = message.notice
         now = self._environment.now()
-        before = self._heard_by_vm.get(message.from_vm)
-        self._heard_by_vm[message.from_vm] = HeardPeer(notice, now)
+        before = self._status_by_vm.get(message.from_vm)
+        self._status_by_vm[message.from_vm] = PeerStatus(notice, now)
         incarnations = dict(self._views.incarnation_by_vm)
         incarnations[message.from_vm] = notice.incarnation
         self._views.incarnation_by_vm = incarnations
@@ -234,19 +234,19 @@
         silent_after_s = SILENT_ROUNDS * self._interval_s * self._rounds_to_hear_all()
         heard = {
             vm_id
-            for vm_id, peer in self._heard_by_vm.items()
-            if now - peer.heard_at <= silent_after_s
+            for vm_id, peer in self._status_by_vm.items()
+            if now - peer.last_seen_at <= silent_after_s
         }
         listed = {vm.id for vm in self._views.membership.listed_entry_vms()}
         silent = listed - heard - {self._own_id}
         if self._is_large_fleet():
             # Most were never heard: a word from each takes a minute and more.
-            silent &= self._heard_by_vm.keys()
+            silent &= self._status_by_vm.keys()
         unreachable = frozenset(silent)
-        draining = {vm for vm in heard if self._heard_by_vm[vm].notice.draining}
+        draining = {vm for vm in heard if self._status_by_vm[vm].notice.draining}
         if self._draining:
             draining.add(self._own_id)
-        starting = {vm for vm in heard if not self._heard_by_vm[vm].notice.serving}
+        starting = {vm for vm in heard if not self._status_by_vm[vm].notice.serving}
         before = self._views.membership
         after = before.with_changes(
             unreachable_ids=unreachable,
@@ -282,13 +282,13 @@
         membership = self._views.membership
         reports = [
             PeerReport(
-                log_reachable=self._heard_by_vm[vm.id].notice.log_reachable,
+                log_reachable=self._status_by_vm[vm.id].notice.log_reachable,
                 catalogue_next_offset=(
-                    self._heard_by_vm[vm.id].notice.catalogue_next_offset
+                    self._status_by_vm[vm.id].notice.catalogue_next_offset
                 ),
             )
             for vm in membership.listed_entry_vms()
-            if vm.id in self._heard_by_vm and vm.id not in membership.unreachable_ids
+            if vm.id in self._status_by_vm and vm.id not in membership.unreachable_ids
         ]
         inputs = ReadinessInputs(
             catalogue_whole=self._views.catalogue is not None,
@@ -343,8 +343,8 @@
             "draining": sorted(membership.draining_ids),
             "unreachable": sorted(membership.unreachable_ids),
             "heard_s_ago": {
-                vm_id: round(now - peer.heard_at, 2)
-                for vm_id, peer in sorted(self._heard_by_vm.items())
+                vm_id: round(now - peer.last_seen_at, 2)
+                for vm_id, peer in sorted(self._status_by_vm.items())
             },
             "log_reachable": self._health.reachable,
             "serving": self._views.serving,
