--- a/bamboovale/membership/actor.py
+++ b/bamboovale/membership/actor.py
@@ -100,7 +100,7 @@
 
     send: Callable[[str, StatusNotice], None]
     on_change: Callable[[], None]
-    on_peer_gone: Callable[[str], None]
+    on_peer_unreachable: Callable[[str], None]
     on_peer_ahead: Callable[[str, int], None]
     on_hint: Callable[[EngineHint], None]
     on_interval: Callable[[], None]
@@ -258,7 +258,7 @@
         self._views.membership = after
         for vm_id in unreachable - before.unreachable_ids:
             logger.info("entry VM %s fell silent", vm_id)
-            self._callbacks.on_peer_gone(vm_id)
+            self._callbacks.on_peer_unreachable(vm_id)
         for vm_id in before.unreachable_ids - unreachable:
             logger.info("entry VM %s is heard", vm_id)
         self._callbacks.on_change()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -51,7 +51,7 @@
             MembershipCallbacks(
                 send=lambda vm_id, notice: self.sent_to.append(vm_id),
                 on_change=lambda: None,
-                on_peer_gone=lambda vm_id: None,
+                on_peer_unreachable=lambda vm_id: None,
                 on_peer_ahead=lambda vm_id, offset: None,
                 on_hint=lambda hint: None,
                 on_interval=lambda: None,
