--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -70,7 +70,7 @@
     MembershipActor,
     MembershipCallbacks,
     VMListReader,
-    forward_list,
+    vm_list_callback,
 )
 from bamboovale.membership.vm_list import VMListClient
 from bamboovale.peers.links import PeerLinks
@@ -281,7 +281,7 @@
     def _build_followers(self) -> None:
         self._list_reader = VMListReader(
             VMListClient(self.environment.settings.vms, self._http),
-            forward_list(self._membership),
+            vm_list_callback(self._membership),
         )
 
         def follow(stream: str, on_batch: Any, **more: Any) -> StreamFollower:
--- a/bamboovale/membership/actor.py
+++ b/bamboovale/membership/actor.py
@@ -360,6 +360,6 @@
     return ", ".join(f"{name} {ids}" for name, ids in parts if ids) or "changed"
 
 
-def forward_list(keeper: Any) -> Callable[[tuple[VM, ...] | None], None]:
+def vm_list_callback(keeper: Any) -> Callable[[tuple[VM, ...] | None], None]:
     """Return the callback that hands the list to the keeper."""
     return lambda vms: tell(keeper, VMListRead(vms))
