--- a/bamboovale/leases/actor.py
+++ b/bamboovale/leases/actor.py
@@ -310,7 +310,7 @@
             # After an outage the holder's renewal and this take would race: the
             # holder, whose engine is warm, gets a term to renew first.
             wait_s = self._terms.wait_s(lease.term_s)
-            due = max(due, self._health.back_since + wait_s)
+            due = max(due, self._health.recovered_at + wait_s)
         if now < due or now < self._take_sent_at.get(engine, 0.0) + TAKE_AGAIN_S:
             return
         self._take_sent_at[engine] = now
--- a/bamboovale/log_service/follower.py
+++ b/bamboovale/log_service/follower.py
@@ -30,13 +30,13 @@
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
         self._answered_at = float("-inf")
-        self._silent_until = float("-inf")
+        self._recovered_at = float("-inf")
 
-    def answered(self) -> None:
+    def on_success(self) -> None:
         """Note a successful read."""
         now = self._now()
         if now - self._answered_at > SILENT_AFTER_S:
-            self._silent_until = now
+            self._recovered_at = now
         self._answered_at = now
 
     @property
@@ -45,9 +45,9 @@
         return self._now() - self._answered_at <= SILENT_AFTER_S
 
     @property
-    def back_since(self) -> float:
+    def recovered_at(self) -> float:
         """Return the end of the last silence."""
-        return self._silent_until
+        return self._recovered_at
 
 
 class StreamFollower:
@@ -128,7 +128,7 @@
         return True
 
     def _take(self, batch: RecordBatch) -> None:
-        self._health.answered()
+        self._health.on_success()
         if self._skip_to_start(batch):
             return
         if batch.records:
--- a/tests/test_leases_actor.py
+++ b/tests/test_leases_actor.py
@@ -105,7 +105,7 @@
         log.records.append(Renewal("r1", "dead/1", {"runner-1": 3}).to_json())
         read = 0
         for _ in range(40):
-            log.health.answered()
+            log.health.on_success()
             keeper.ask(LeaseBatchRead(log.batch(read), log.now))
             read = len(log.records)
             log.now += 0.2
@@ -179,7 +179,7 @@
     read = 0
     for _ in range(rounds):
         if not log.down:
-            log.health.answered()
+            log.health.on_success()
             keeper.ask(LeaseBatchRead(log.batch(read), log.now))
             read = len(log.records)
         log.now += 0.2
