--- a/bamboovale/catalogue/actor.py
+++ b/bamboovale/catalogue/actor.py
@@ -105,7 +105,7 @@
 
     forward: Callable[[int, tuple[Any, ...]], None]
     ask_peer: Callable[[str | None], None]
-    read_from: Callable[[int], None]
+    seek: Callable[[int], None]
     on_version_changed: Callable[[str, str, str], None]
     on_change: Callable[[], None]
 
@@ -171,7 +171,7 @@
                 self._apply(record.offset, record.value)
         except CatalogueGapError as gap:
             logger.warning("catalogue: %s", gap)
-            self._callbacks.read_from(gap.next_offset)
+            self._callbacks.seek(gap.next_offset)
         if fresh and self._views.catalogue is not None:
             values = tuple(record.value for record in fresh)
             self._callbacks.forward(fresh[0].offset, values)
@@ -240,7 +240,7 @@
             return
         logger.info("catalogue: took over a snapshot at offset %d", other.next_offset)
         self._assembler = None
-        self._callbacks.read_from(self._catalogue.next_offset)
+        self._callbacks.seek(self._catalogue.next_offset)
         self._settle_waiting()
         self._publish()
 
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -183,7 +183,7 @@
                     vm_id,
                     self._catalogue,
                 ),
-                read_from=lambda offset: self._catalogue_follower.read_from(offset),
+                seek=lambda offset: self._catalogue_follower.seek(offset),
                 on_version_changed=self._holders.on_version_changed,
                 on_change=self._on_membership,
             ),
--- a/bamboovale/log_service/follower.py
+++ b/bamboovale/log_service/follower.py
@@ -94,7 +94,7 @@
         """Stop the thread after its current poll."""
         self._stopped.set()
 
-    def read_from(self, offset: int) -> None:
+    def seek(self, offset: int) -> None:
         """Read on from another offset: what lies before came from a snapshot."""
         self._next = offset
 
