--- a/bamboovale/catalogue/keeper.py
+++ b/bamboovale/catalogue/actor.py
@@ -8,7 +8,7 @@
 
 from bamboovale.actors import MessageActor, Tick
 from bamboovale.catalogue.edits import EDIT_TYPE, EditOutcome
-from bamboovale.catalogue.fold import Catalogue, GapFoundError
+from bamboovale.catalogue.fold import Catalogue, CatalogueGapError
 from bamboovale.catalogue.snapshots import (
     SnapshotAssembler,
     SnapshotInvalidError,
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True)
-class CatalogueRecordsPassed:
+class CatalogueRecordsForwarded:
     """Records that a peer passed on."""
 
     first_offset: int
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True)
-class CatalogueFromPeer:
+class PeerSnapshotReceived:
     """A whole catalogue from a peer, None if it had none."""
 
     snapshot: Any
@@ -81,14 +81,14 @@
 
 
 @dataclass(frozen=True)
-class SnapshotDuty:
+class SnapshotRoleChanged:
     """Whether this VM writes the snapshots of the catalogue."""
 
-    on_duty: bool
+    is_writer: bool
 
 
 @dataclass(frozen=True)
-class SnapshotAsked:
+class SnapshotRequested:
     """A peer wants the whole catalogue."""
 
     reply: Callable[[Any], None]
@@ -103,14 +103,14 @@
 class CatalogueCallbacks:
     """What the keeper does with what it learns; called from its own thread."""
 
-    pass_on: Callable[[int, tuple[Any, ...]], None]
+    forward: Callable[[int, tuple[Any, ...]], None]
     ask_peer: Callable[[str | None], None]
-    read_from: Callable[[int], None]
+    seek: Callable[[int], None]
     on_version_changed: Callable[[str, str, str], None]
     on_change: Callable[[], None]
 
 
-class CatalogueKeeper(MessageActor):
+class CatalogueActor(MessageActor):
     """Owns the fold of the catalogue."""
 
     def __init__(
@@ -131,17 +131,17 @@
         self._log_end = 0
         self._settled: list[tuple[Future[EditOutcome], EditOutcome]] = []
         self._waiting_by_edit: dict[tuple[str, str], list[Future[EditOutcome]]] = {}
-        self._on_duty = False
+        self._is_snapshot_writer = False
         self._snapshot_at_offset = 0
         self._next_snapshot_at = float("inf")
         self._next_ask_at = 0.0
         self.handle(CatalogueBatchRead, self._on_batch)
-        self.handle(CatalogueRecordsPassed, self._on_passed)
-        self.handle(CatalogueFromPeer, self._on_peer_catalogue)
+        self.handle(CatalogueRecordsForwarded, self._on_forwarded)
+        self.handle(PeerSnapshotReceived, self._on_peer_catalogue)
         self.handle(PeerIsAhead, self._on_peer_ahead)
         self.handle(AwaitOutcome, self._on_await)
-        self.handle(SnapshotDuty, self._on_duty_changed)
-        self.handle(SnapshotAsked, self._on_snapshot_asked)
+        self.handle(SnapshotRoleChanged, self._on_role_changed)
+        self.handle(SnapshotRequested, self._on_snapshot_asked)
         self.handle(Tick, self._on_tick)
         self.handle(DumpCatalogue, self._on_dump)
 
@@ -169,12 +169,12 @@
         try:
             for record in fresh:
                 self._apply(record.offset, record.value)
-        except GapFoundError as gap:
+        except CatalogueGapError as gap:
             logger.warning("catalogue: %s", gap)
-            self._callbacks.read_from(gap.next_offset)
+            self._callbacks.seek(gap.next_offset)
         if fresh and self._views.catalogue is not None:
             values = tuple(record.value for record in fresh)
-            self._callbacks.pass_on(fresh[0].offset, values)
+            self._callbacks.forward(fresh[0].offset, values)
 
     def _apply(self, offset: int, value: Any) -> None:
         before = self._catalogue.view() if self._views.catalogue else None
@@ -240,7 +240,7 @@
             return
         logger.info("catalogue: took over a snapshot at offset %d", other.next_offset)
         self._assembler = None
-        self._callbacks.read_from(self._catalogue.next_offset)
+        self._callbacks.seek(self._catalogue.next_offset)
         self._settle_waiting()
         self._publish()
 
@@ -251,7 +251,7 @@
                 for future in self._waiting_by_edit.pop((edit_id, digest)):
                     self._settled.append((future, outcome))
 
-    def _on_passed(self, message: CatalogueRecordsPassed) -> None:
+    def _on_forwarded(self, message: CatalogueRecordsForwarded) -> None:
         """Fold what a peer passed on, if it follows what is here."""
         if self._views.catalogue is None or self._assembler is not None:
             return
@@ -267,7 +267,7 @@
         self._fold(records)
         self._publish()
 
-    def _on_peer_catalogue(self, message: CatalogueFromPeer) -> None:
+    def _on_peer_catalogue(self, message: PeerSnapshotReceived) -> None:
         if message.snapshot is not None:
             self._adopt(message.snapshot)
 
@@ -279,7 +279,7 @@
             self._next_ask_at = now + ASK_PEER_EVERY_S
             self._callbacks.ask_peer(message.vm_id)
 
-    def _on_snapshot_asked(self, message: SnapshotAsked) -> None:
+    def _on_snapshot_asked(self, message: SnapshotRequested) -> None:
         whole = self._views.catalogue is not None
         message.reply(write_snapshot(self._catalogue) if whole else None)
 
@@ -297,8 +297,8 @@
 
     # Snapshots on the log.
 
-    def _on_duty_changed(self, message: SnapshotDuty) -> None:
-        self._on_duty = message.on_duty
+    def _on_role_changed(self, message: SnapshotRoleChanged) -> None:
+        self._is_snapshot_writer = message.is_writer
         self._next_snapshot_at = self._environment.now()
 
     def _on_tick(self, _: Tick) -> None:
@@ -308,7 +308,7 @@
                 self._next_ask_at = now + ASK_PEER_EVERY_S
                 self._callbacks.ask_peer(None)
             return
-        if self._on_duty and self._snapshot_is_due(now):
+        if self._is_snapshot_writer and self._snapshot_is_due(now):
             self._write_snapshot(now)
 
     def _snapshot_is_due(self, now: float) -> bool:
@@ -338,5 +338,5 @@
             "rejected": counters.rejected,
             "regressions": counters.regressions,
             "behind_a_gap": self._assembler is not None,
-            "writes_snapshots": self._on_duty,
+            "writes_snapshots": self._is_snapshot_writer,
         }
--- a/bamboovale/catalogue/fold.py
+++ b/bamboovale/catalogue/fold.py
@@ -32,17 +32,17 @@
 )
 from bamboovale.catalogue.history import (
     HISTORY_CHANGES_PER_EDIT,
+    EditHistory,
     EntryChange,
     HistoryRecord,
-    Journal,
 )
 from bamboovale.catalogue.index import EntryIndex, Tombstone
-from bamboovale.catalogue.rules import MAX_FINDINGS, find_conflicts, find_faults
+from bamboovale.catalogue.rules import MAX_FINDINGS, find_conflicts, validate_changes
 
 DIGEST_BYTES = 16
 
 
-class GapFoundError(Exception):
+class CatalogueGapError(Exception):
     """Records between ``next_offset`` and ``offset`` were not read.
 
     The fold is unchanged. Only a snapshot taken at or after the oldest kept offset
@@ -101,7 +101,7 @@
         self.digest = ""
         self.counters = CatalogueCounters()
         self.index = EntryIndex()
-        self.journal = Journal()
+        self.edit_history = EditHistory()
         self._view: CatalogueView | None = None
 
     @classmethod
@@ -130,7 +130,7 @@
         An id that belongs to an edit with other contents is a rejection: its
         sender must not be told the other's outcome.
         """
-        known = self.journal.outcome_by_edit_id.get(edit_id)
+        known = self.edit_history.outcome_by_edit_id.get(edit_id)
         if known is None or known.digest == digest:
             return known
         return EditOutcome(
@@ -153,7 +153,7 @@
                 pool_by_name=self.index.pool_by_name,
                 service_by_name=self.index.service_by_name,
                 tombstone_by_key=dict(self.index.tombstone_by_key),
-                history=tuple(self.journal.history),
+                history=tuple(self.edit_history.history),
             )
         return self._view
 
@@ -162,12 +162,12 @@
 
         A record that was folded before is passed over (a reader may read again).
         A snapshot found here changes nothing: its state was folded already.
-        Raises :class:`GapFoundError` if records are missing before this one.
+        Raises :class:`CatalogueGapError` if records are missing before this one.
         """
         if offset < self.next_offset:
             return None
         if offset > self.next_offset:
-            raise GapFoundError(self.next_offset, offset)
+            raise CatalogueGapError(self.next_offset, offset)
         self.next_offset = offset + 1
         self._view = None
         record_type = value.get("type") if isinstance(value, dict) else None
@@ -193,7 +193,7 @@
         self.next_offset = other.next_offset
         self.digest = other.digest
         self.index = other.index
-        self.journal = other.journal
+        self.edit_history = other.edit_history
         self._view = None
         return True
 
@@ -210,7 +210,7 @@
             self.counters.repeated += 1
             return known
         outcome = self._judge(offset, edit, digest)
-        self.journal.remember(outcome)
+        self.edit_history.remember(outcome)
         return outcome
 
     def _judge(self, offset: int, edit: Edit, digest: str) -> EditOutcome:
@@ -230,7 +230,7 @@
                     conflicts=tuple(conflicts[:MAX_FINDINGS]),
                 )
             )
-        findings = find_faults(edit.changes, self.index)
+        findings = validate_changes(edit.changes, self.index)
         if findings:
             return self._reject(
                 replace(
@@ -283,7 +283,7 @@
             changed += 1
             if len(listed) < HISTORY_CHANGES_PER_EDIT:
                 listed.append(entry_change)
-        self.journal.add(
+        self.edit_history.add(
             HistoryRecord(
                 revision=revision,
                 edit_id=edit.edit_id,
--- a/bamboovale/claims/keeper.py
+++ b/bamboovale/claims/actor.py
@@ -8,7 +8,7 @@
 
 from bamboovale.actors import MessageActor, Tick, tell
 from bamboovale.claims.fold import ClaimGapError, ClaimOutcome, ClaimTable, Verdict
-from bamboovale.claims.records import Answered, Claim, ClaimItem, Released, group
+from bamboovale.claims.records import Answered, Claim, ClaimItem, Released, encode_items
 from bamboovale.environment import Environment
 from bamboovale.log_service.appender import Appender
 from bamboovale.log_service.log_client import LogFailure, RecordBatch
@@ -34,15 +34,15 @@
 
 
 @dataclass(frozen=True)
-class ClaimAsked:
-    """A caller's thread wants a claim; ``give_up_at`` is on the monotonic clock.
+class ClaimRequested:
+    """A caller's thread wants a claim; ``deadline`` is on the monotonic clock.
 
     The future brings the outcome, or None if the claim did not come about: the
     attempt is then never sent.
     """
 
     claim: Claim
-    give_up_at: float
+    deadline: float
     future: "Future[ClaimOutcome | None]"
 
 
@@ -66,7 +66,7 @@
     """Ask for the state as JSON."""
 
 
-class ClaimKeeper(MessageActor):
+class ClaimActor(MessageActor):
     """Owns the claim table and the group commit of this VM's claims."""
 
     def __init__(self, environment: Environment, appender: Appender) -> None:
@@ -75,11 +75,11 @@
         self._appender = appender
         self._table: ClaimTable | None = None
         self._pending: list[ClaimItem] = []
-        self._asked_by_attempt: dict[str, ClaimAsked] = {}
+        self._asked_by_attempt: dict[str, ClaimRequested] = {}
         self._appending = False
         self._next_quiet_append_at = self._environment.now() + QUIET_APPEND_S
         self.handle(ClaimBatchRead, self._on_batch)
-        self.handle(ClaimAsked, self._on_asked)
+        self.handle(ClaimRequested, self._on_asked)
         self.handle(ClaimEnded, self._on_ended)
         self.handle(AppendEnded, self._on_append_ended)
         self.handle(Tick, self._on_tick)
@@ -115,7 +115,7 @@
             self._release(asked.claim)
         asked.future.set_result(outcome)
 
-    def _on_asked(self, message: ClaimAsked) -> None:
+    def _on_asked(self, message: ClaimRequested) -> None:
         self._asked_by_attempt[message.claim.attempt_id] = message
         self._pending.append(message.claim)
         self._append_pending()
@@ -145,7 +145,7 @@
                         tell(self.actor_ref, ClaimEnded(item))
             tell(self.actor_ref, AppendEnded(attempts, result))
 
-        self._appender.append(group(items), on_end)
+        self._appender.append(encode_items(items), on_end)
 
     def _on_append_ended(self, message: AppendEnded) -> None:
         self._appending = False
@@ -165,14 +165,14 @@
     def _on_tick(self, _: Tick) -> None:
         now = self._environment.now()
         for asked in list(self._asked_by_attempt.values()):
-            if now >= asked.give_up_at:
+            if now >= asked.deadline:
                 self._give_up(asked)
         self._append_pending()
         if now >= self._next_quiet_append_at and not self._appending:
             self._put_off_quiet_append()
-            self._appender.append(group([]))
+            self._appender.append(encode_items([]))
 
-    def _give_up(self, asked: ClaimAsked) -> None:
+    def _give_up(self, asked: ClaimRequested) -> None:
         """End a wait for a read-back; the decision never to send comes first."""
         del self._asked_by_attempt[asked.claim.attempt_id]
         self._environment.metrics.claims.labels(outcome="given_up").inc()
--- a/bamboovale/entry/keyed.py
+++ b/bamboovale/entry/keyed.py
@@ -8,14 +8,14 @@
 import pykka
 
 from bamboovale.actors import tell
+from bamboovale.claims.actor import ClaimEnded, ClaimRequested
 from bamboovale.claims.answers import (
     MAX_BODY_BYTES,
     AnswerState,
     AnswerStore,
-    KeptAnswer,
+    StoredAnswer,
 )
-from bamboovale.claims.fold import ClaimOutcome, KeyReport, Verdict
-from bamboovale.claims.keeper import ClaimAsked, ClaimEnded
+from bamboovale.claims.fold import ClaimOutcome, KeyInfo, Verdict
 from bamboovale.claims.records import Answered, Claim, Released
 from bamboovale.entry.caller_request import CallerRequest
 from bamboovale.entry.ending import CallerAnswer, ClosingChunks, Ending
@@ -30,7 +30,7 @@
 LONGEST_POLL_S = 10.0
 """How long a repeat waits for the answer of the attempt that runs."""
 
-FindAnswer = Callable[[str, str], KeptAnswer]
+FindAnswer = Callable[[str, str], StoredAnswer]
 
 
 class KeyedRequests:
@@ -95,7 +95,7 @@
         now = self._environment.now()
         wait_s = min(CLAIM_WAIT_S, request.deadline_s or CLAIM_WAIT_S)
         future: Future[ClaimOutcome | None] = Future()
-        tell(self._claims, ClaimAsked(claim, now + wait_s, future))
+        tell(self._claims, ClaimRequested(claim, now + wait_s, future))
         return future.result()
 
     def _run(
@@ -107,7 +107,7 @@
         try:
             answer = run()
         except BaseException:
-            self._settle(claim, KeptAnswer(AnswerState.UNKNOWN))
+            self._settle(claim, StoredAnswer(AnswerState.UNKNOWN))
             raise
         copy = _Copy(answer)
 
@@ -117,7 +117,7 @@
         chunks = ClosingChunks(copy, settle)
         return CallerAnswer(answer.status, answer.headers, chunks, answer.ending)
 
-    def _settle(self, claim: Claim, kept: KeptAnswer) -> None:
+    def _settle(self, claim: Claim, kept: StoredAnswer) -> None:
         self._answers.end(claim.attempt_id, kept)
         item: Answered | Released
         if kept.state is AnswerState.NOT_RUN:
@@ -152,7 +152,7 @@
             return self._answer_repeat(request, outcome.holder)
         return self._unknown(request, "nobody can tell whether this key ran before")
 
-    def _answer_repeat(self, request: CallerRequest, holder: KeyReport) -> CallerAnswer:
+    def _answer_repeat(self, request: CallerRequest, holder: KeyInfo) -> CallerAnswer:
         """Give a repeat the first attempt's answer, once there is one."""
         wait_s = min(LONGEST_POLL_S, request.deadline_s or LONGEST_POLL_S)
         give_up_at = self._environment.now() + wait_s
@@ -219,14 +219,14 @@
         if close_chunks is not None:
             close_chunks()
 
-    def kept(self) -> KeptAnswer:
+    def kept(self) -> StoredAnswer:
         """Return what is kept for repeats."""
         answer = self._answer
         state = _final_state(answer.ending)
         if state is AnswerState.ANSWERED and not self._whole:
             state = AnswerState.UNKNOWN
         headers = tuple(answer.headers)
-        return KeptAnswer(state, answer.status, headers, bytes(self._kept))
+        return StoredAnswer(state, answer.status, headers, bytes(self._kept))
 
 
 def _final_state(ending: Ending) -> AnswerState:
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -7,10 +7,10 @@
 import pykka
 
 from bamboovale.actors import tell
-from bamboovale.catalogue.keeper import (
+from bamboovale.catalogue.actor import (
     CATALOGUE_STREAM,
-    CatalogueRecordsPassed,
-    SnapshotAsked,
+    CatalogueRecordsForwarded,
+    SnapshotRequested,
 )
 from bamboovale.claims.answers import AnswerStore
 from bamboovale.decisions.suspects import CrashNotice
@@ -19,7 +19,7 @@
 from bamboovale.entry.holder_links import deliver_ask, deliver_notice
 from bamboovale.entry.holders import Holders
 from bamboovale.entry.permits import PermitDesk
-from bamboovale.membership.keeper import StatusReceived
+from bamboovale.membership.actor import StatusReceived
 from bamboovale.peers.messages import (
     AnswerKept,
     AnswerQuery,
@@ -106,7 +106,7 @@
         reply(PermitsHeld(query.engine_id, held))
 
     def _on_catalogue_query(self, _: str, __: CatalogueQuery, reply: Reply) -> None:
-        asked = SnapshotAsked(lambda snapshot: reply(CatalogueAnswer(snapshot)))
+        asked = SnapshotRequested(lambda snapshot: reply(CatalogueAnswer(snapshot)))
         tell(self._targets.catalogue, asked)
 
     def _on_revision_query(self, _: str, __: RevisionQuery, reply: Reply) -> None:
@@ -130,7 +130,7 @@
 
     def _on_records(self, _: str, notice: RecordsNotice) -> None:
         if notice.stream == CATALOGUE_STREAM:
-            passed = CatalogueRecordsPassed(notice.first_offset, notice.values)
+            passed = CatalogueRecordsForwarded(notice.first_offset, notice.values)
             tell(self._targets.catalogue, passed)
 
     def _on_turn_ask(self, sender: str, ask: LoadGrantRequest) -> None:
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -8,22 +8,22 @@
 
 from bamboovale.actors import TICK_S, Ticker, hand_over, tell
 from bamboovale.admin.app import AdministrationApp
-from bamboovale.catalogue.keeper import (
+from bamboovale.catalogue.actor import (
     CATALOGUE_STREAM,
+    CatalogueActor,
     CatalogueBatchRead,
     CatalogueCallbacks,
-    CatalogueKeeper,
     DumpCatalogue,
     PeerIsAhead,
-    SnapshotDuty,
+    SnapshotRoleChanged,
 )
-from bamboovale.claims.answers import AnswerStore
-from bamboovale.claims.keeper import (
+from bamboovale.claims.actor import (
     CLAIM_STREAM,
+    ClaimActor,
     ClaimBatchRead,
-    ClaimKeeper,
     DumpClaims,
 )
+from bamboovale.claims.answers import AnswerStore
 from bamboovale.decisions.policy import Policy
 from bamboovale.decisions.suspects import CrashNotice
 from bamboovale.engines.client import VllmEngineOrders
@@ -50,7 +50,7 @@
 from bamboovale.entry.state_dump import StateDump, as_json
 from bamboovale.environment import Environment
 from bamboovale.http_client import HttpClient
-from bamboovale.leases.keeper import START_BEHIND, LeaseKeeper
+from bamboovale.leases.actor import MAX_START_BACKLOG, LeaseActor
 from bamboovale.leases.messages import (
     LEASE_STREAM,
     WEIGHT_STORE,
@@ -62,15 +62,15 @@
 from bamboovale.log_service.appender import Appender
 from bamboovale.log_service.follower import LogHealth, StreamFollower
 from bamboovale.log_service.log_client import LogClient, RecordBatch
-from bamboovale.membership.keeper import (
-    DrainBegun,
+from bamboovale.membership.actor import (
+    DrainStarted,
     DumpMembership,
-    HintMade,
+    HintUpdated,
     HolderStopped,
+    MembershipActor,
     MembershipCallbacks,
-    MembershipKeeper,
     VMListReader,
-    forward_list,
+    vm_list_callback,
 )
 from bamboovale.membership.vm_list import VMListClient
 from bamboovale.peers.links import PeerLinks
@@ -135,7 +135,7 @@
         self._turn_routes = TurnRoutes(settings.id, self._links, self._holders)
         self._holder_links = HolderLinksToVM(
             load_turns=self._turn_routes,
-            on_hint=lambda hint: tell(self._membership, HintMade(hint)),
+            on_hint=lambda hint: tell(self._membership, HintUpdated(hint)),
             on_started=self._ask_permits_held,
             on_stopped=lambda engine_id: tell(
                 self._membership,
@@ -150,14 +150,14 @@
 
     def _start_actors(self) -> None:
         environment = self.environment
-        self._membership = MembershipKeeper.start(
+        self._membership = MembershipActor.start(
             environment,
             self.views,
             self._health,
             MembershipCallbacks(
                 send=self._links.notify,
                 on_change=self._on_membership,
-                on_peer_gone=self._holders.on_entry_vm_gone,
+                on_peer_unreachable=self._holders.on_entry_vm_gone,
                 on_peer_ahead=lambda vm_id, next_offset: tell(
                     self._catalogue,
                     PeerIsAhead(vm_id, next_offset),
@@ -173,22 +173,22 @@
             self._turn_routes.give,
         )
         self._turn_routes.attach(self._load_turns)
-        self._catalogue = CatalogueKeeper.start(
+        self._catalogue = CatalogueActor.start(
             environment,
             self.views,
             self._appender_by_stream[CATALOGUE_STREAM],
             CatalogueCallbacks(
-                pass_on=self._exchange.pass_on,
+                forward=self._exchange.pass_on,
                 ask_peer=lambda vm_id: self._exchange.ask_catalogue(
                     vm_id,
                     self._catalogue,
                 ),
-                read_from=lambda offset: self._catalogue_follower.read_from(offset),
+                seek=lambda offset: self._catalogue_follower.seek(offset),
                 on_version_changed=self._holders.on_version_changed,
                 on_change=self._on_membership,
             ),
         )
-        self._leases = LeaseKeeper.start(
+        self._leases = LeaseActor.start(
             environment,
             self.views,
             self._appender_by_stream[LEASE_STREAM],
@@ -199,7 +199,7 @@
                 on_valid=self._holders.wake,
             ),
         )
-        self._claims = ClaimKeeper.start(
+        self._claims = ClaimActor.start(
             environment,
             self._appender_by_stream[CLAIM_STREAM],
         )
@@ -281,7 +281,7 @@
     def _build_followers(self) -> None:
         self._list_reader = VMListReader(
             VMListClient(self.environment.settings.vms, self._http),
-            forward_list(self._membership),
+            vm_list_callback(self._membership),
         )
 
         def follow(stream: str, on_batch: Any, **more: Any) -> StreamFollower:
@@ -304,7 +304,7 @@
             follow(
                 LEASE_STREAM,
                 lambda batch, at: tell(self._leases, LeaseBatchRead(batch, at)),
-                start_behind=START_BEHIND,
+                max_backlog=MAX_START_BACKLOG,
                 pace_s=LEASE_PACE_S,
             ),
             follow(
@@ -358,7 +358,7 @@
         self.environment.metrics.drains.inc()
         logger.info("draining")
         self.views.draining = True
-        tell(self._membership, DrainBegun())
+        tell(self._membership, DrainStarted())
         tell(self._leases, HandOverAll())
         time.sleep(settings.entries_ttl_s + settings.hint_interval_s)
         self._caller_app.closed = True
@@ -393,14 +393,14 @@
     def _on_held(self, engine_id: str, fencing: int, valid: Any) -> None:
         if engine_id == WEIGHT_STORE:
             tell(self._load_turns, SchedulerLeaseChanged(fencing, valid))
-            tell(self._catalogue, SnapshotDuty(on_duty=True))
+            tell(self._catalogue, SnapshotRoleChanged(is_writer=True))
             return
         self._holders.start(engine_id, fencing, valid, self._holder_links)
 
     def _on_lost(self, engine_id: str) -> None:
         if engine_id == WEIGHT_STORE:
             tell(self._load_turns, SchedulerLeaseChanged(None, lambda: False))
-            tell(self._catalogue, SnapshotDuty(on_duty=False))
+            tell(self._catalogue, SnapshotRoleChanged(is_writer=False))
             return
         self._holders.stop(engine_id, self._holder_links)
 
--- a/bamboovale/leases/keeper.py
+++ b/bamboovale/leases/actor.py
@@ -17,7 +17,6 @@
     Renewed,
 )
 from bamboovale.leases.hand_over import HandOvers
-from bamboovale.leases.holding import HeldLease, OwnLeases
 from bamboovale.leases.messages import (
     LEASE_STREAM,
     WEIGHT_STORE,
@@ -30,6 +29,7 @@
     node_name,
     vm_of_node,
 )
+from bamboovale.leases.own_leases import HeldLease, OwnLeases
 from bamboovale.leases.records import Release, Take
 from bamboovale.leases.recovery import LeaseRecovery
 from bamboovale.leases.timing import LeaseTerms
@@ -48,14 +48,14 @@
 SNAPSHOT_EVERY_S = 30.0
 """A VM that starts behind expired records waits at most this long for a snapshot."""
 
-START_BEHIND = 5000
+MAX_START_BACKLOG = 5000
 """How far before the stream's end a VM begins to read. It holds a snapshot even at
 100 renewals a second; reading an hour of renewals would delay each start."""
 
 logger = logging.getLogger(__name__)
 
 
-class LeaseKeeper(MessageActor):
+class LeaseActor(MessageActor):
     """Owns the lease table and this VM's own leases."""
 
     def __init__(
@@ -148,7 +148,7 @@
         rank = self._rank(WEIGHT_STORE, None)
         if recovery is None or rank is None or not self._health.reachable:
             return
-        due = recovery.may_reset_at(self._terms, rank)
+        due = recovery.reset_allowed_at(self._terms, rank)
         if now < max(due, self._reset_sent_at + TAKE_AGAIN_S):
             return
         self._reset_sent_at = now
@@ -165,7 +165,7 @@
             if isinstance(outcome, Cleared):
                 self._give_up_all()
             valid_before = self._valid_engines()
-            self._own.note_read(outcome)
+            self._own.apply(outcome)
             self._tell(outcome)
             for engine in self._valid_engines() - valid_before:
                 self._callbacks.on_valid(engine)
@@ -188,7 +188,7 @@
 
     def _give_up_all(self) -> None:
         for engine in list(self._own.held_by_engine):
-            self._own.let_go(engine)
+            self._own.drop(engine)
             self._callbacks.on_lost(engine)
 
     def _tell(self, outcome: LeaseOutcome | None) -> None:
@@ -271,7 +271,7 @@
             received = self._views.hint_by_engine.get(engine)
             if received is not None and received.hint.fencing > held.fencing:
                 self._environment.metrics.leases_lost.inc()
-                self._own.let_go(engine)
+                self._own.drop(engine)
                 self._callbacks.on_lost(engine)
 
     def _wanted(self) -> list[str]:
@@ -305,12 +305,12 @@
         rank = self._rank(engine, vm_of_node(lease.holder) if lease else None)
         if rank is None or not self._health.reachable:
             return
-        due = self._terms.may_take_at(lease, rank, first_seen)
+        due = self._terms.take_allowed_at(lease, rank, first_seen)
         if lease is not None and lease.holder is not None:
             # After an outage the holder's renewal and this take would race: the
             # holder, whose engine is warm, gets a term to renew first.
             wait_s = self._terms.wait_s(lease.term_s)
-            due = max(due, self._health.back_since + wait_s)
+            due = max(due, self._health.recovered_at + wait_s)
         if now < due or now < self._take_sent_at.get(engine, 0.0) + TAKE_AGAIN_S:
             return
         self._take_sent_at[engine] = now
@@ -371,7 +371,7 @@
     def _release(self, engine: str, successor: str | None) -> None:
         """Stop acting as holder first, then say so on the log."""
         held = self._own.held_by_engine[engine]
-        self._own.let_go(engine)
+        self._own.drop(engine)
         self._callbacks.on_lost(engine)
         record = Release(
             record_id=self._record_id(),
@@ -424,7 +424,7 @@
         if known is not None and known.fencing > held.fencing:
             return
         logger.info("lease on %s: kept, its release failed", held.engine)
-        self._own.take_back(held)
+        self._own.restore(held)
         self._hold(held.engine, held.fencing)
 
     def _record_id(self) -> str:
--- a/bamboovale/leases/holding.py
+++ b/bamboovale/leases/own_leases.py
@@ -69,7 +69,7 @@
         while len(self._ends_at_by_record_id) > MAX_PENDING:
             del self._ends_at_by_record_id[next(iter(self._ends_at_by_record_id))]
 
-    def note_read(self, outcome: LeaseOutcome | None) -> None:
+    def apply(self, outcome: LeaseOutcome | None) -> None:
         """Take in what the fold made of a record, own or another's."""
         if isinstance(outcome, Moved):
             self._note_move(outcome)
@@ -78,11 +78,11 @@
         elif isinstance(outcome, Cleared):
             self._held_by_engine.clear()
 
-    def let_go(self, engine: str) -> None:
+    def drop(self, engine: str) -> None:
         """Stop acting as holder, before the release is sent."""
         self._held_by_engine.pop(engine, None)
 
-    def take_back(self, held: HeldLease) -> None:
+    def restore(self, held: HeldLease) -> None:
         """Act as holder again: the release was refused, so nobody else can."""
         self._held_by_engine.setdefault(held.engine, held)
 
--- a/bamboovale/log_service/follower.py
+++ b/bamboovale/log_service/follower.py
@@ -30,13 +30,13 @@
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
         self._answered_at = float("-inf")
-        self._silent_until = float("-inf")
+        self._recovered_at = float("-inf")
 
-    def answered(self) -> None:
+    def on_success(self) -> None:
         """Note a successful read."""
         now = self._now()
         if now - self._answered_at > SILENT_AFTER_S:
-            self._silent_until = now
+            self._recovered_at = now
         self._answered_at = now
 
     @property
@@ -45,15 +45,15 @@
         return self._now() - self._answered_at <= SILENT_AFTER_S
 
     @property
-    def back_since(self) -> float:
+    def recovered_at(self) -> float:
         """Return the end of the last silence."""
-        return self._silent_until
+        return self._recovered_at
 
 
 class StreamFollower:
     """A thread that reads a stream for ever, from its beginning.
 
-    With ``start_behind`` it begins at most that many records before the stream's end.
+    With ``max_backlog`` it begins at most that many records before the stream's end.
     ``pace_s`` is a pause after each read that brought records: on a stream to which
     every entry VM appends, each append would otherwise cost every VM a call.
     ``limit`` bounds the records of one read.
@@ -66,7 +66,7 @@
         health: LogHealth,
         stream: str,
         on_batch: Callable[[RecordBatch, float], None],
-        start_behind: int | None = None,
+        max_backlog: int | None = None,
         pace_s: float = 0.0,
         limit: int = MAX_RECORDS_PER_READ,
     ) -> None:
@@ -76,7 +76,7 @@
         self._stream = stream
         self._on_batch = on_batch
         self._next = 0
-        self._start_behind = start_behind
+        self._max_backlog = max_backlog
         self._pace_s = pace_s
         self._limit = limit
         self._stopped = threading.Event()
@@ -94,7 +94,7 @@
         """Stop the thread after its current poll."""
         self._stopped.set()
 
-    def read_from(self, offset: int) -> None:
+    def seek(self, offset: int) -> None:
         """Read on from another offset: what lies before came from a snapshot."""
         self._next = offset
 
@@ -121,14 +121,14 @@
 
     def _skip_to_start(self, batch: RecordBatch) -> bool:
         """Skip what lies too far behind, once; the batch is then not handed on."""
-        behind, self._start_behind = self._start_behind, None
+        behind, self._max_backlog = self._max_backlog, None
         if behind is None or batch.end - behind <= batch.first:
             return False
         self._next = batch.end - behind
         return True
 
     def _take(self, batch: RecordBatch) -> None:
-        self._health.answered()
+        self._health.on_success()
         if self._skip_to_start(batch):
             return
         if batch.records:
--- a/bamboovale/membership/keeper.py
+++ b/bamboovale/membership/actor.py
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True)
-class HintMade:
+class HintUpdated:
     """A hint about an engine held here."""
 
     hint: EngineHint
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True)
-class DrainBegun:
+class DrainStarted:
     """A planned stop of this VM began."""
 
 
@@ -87,11 +87,11 @@
 
 
 @dataclass(frozen=True)
-class HeardPeer:
+class PeerStatus:
     """The last word of a peer."""
 
     notice: StatusNotice
-    heard_at: float
+    last_seen_at: float
 
 
 @dataclass(frozen=True)
@@ -100,7 +100,7 @@
 
     send: Callable[[str, StatusNotice], None]
     on_change: Callable[[], None]
-    on_peer_gone: Callable[[str], None]
+    on_peer_unreachable: Callable[[str], None]
     on_peer_ahead: Callable[[str, int], None]
     on_hint: Callable[[EngineHint], None]
     on_interval: Callable[[], None]
@@ -134,7 +134,7 @@
             self._stopped.wait(READ_LIST_EVERY_S)
 
 
-class MembershipKeeper(MessageActor):
+class MembershipActor(MessageActor):
     """Owns the view of the VMs and the exchange of status with peers."""
 
     def __init__(
@@ -154,16 +154,16 @@
         self._list_read = False
         self._draining = False
         self._serving = False
-        self._heard_by_vm: dict[str, HeardPeer] = {}
+        self._status_by_vm: dict[str, PeerStatus] = {}
         self._own_hint_by_engine: dict[str, EngineHint] = {}
         self._next_status_at = 0.0
         self._told_last = 0
         self._seen_log_at = environment.now()
         self.handle(VMListRead, self._on_list)
         self.handle(StatusReceived, self._on_status)
-        self.handle(HintMade, self._on_hint)
+        self.handle(HintUpdated, self._on_hint)
         self.handle(HolderStopped, self._on_holder_stopped)
-        self.handle(DrainBegun, self._on_drain)
+        self.handle(DrainStarted, self._on_drain)
         self.handle(Tick, self._on_tick)
         self.handle(DumpMembership, self._on_dump)
 
@@ -184,8 +184,8 @@
     def _on_status(self, message: StatusReceived) -> None:
         notice = message.notice
         now = self._environment.now()
-        before = self._heard_by_vm.get(message.from_vm)
-        self._heard_by_vm[message.from_vm] = HeardPeer(notice, now)
+        before = self._status_by_vm.get(message.from_vm)
+        self._status_by_vm[message.from_vm] = PeerStatus(notice, now)
         incarnations = dict(self._views.incarnation_by_vm)
         incarnations[message.from_vm] = notice.incarnation
         self._views.incarnation_by_vm = incarnations
@@ -197,7 +197,7 @@
         if before is None or flags != (before.notice.draining, before.notice.serving):
             self._judge_peers(now)
 
-    def _on_hint(self, message: HintMade) -> None:
+    def _on_hint(self, message: HintUpdated) -> None:
         hint = message.hint
         self._own_hint_by_engine[hint.engine_id] = hint
         self._take_hint(hint, self._own_id, self._environment.now())
@@ -214,7 +214,7 @@
     def _on_holder_stopped(self, message: HolderStopped) -> None:
         self._own_hint_by_engine.pop(message.engine_id, None)
 
-    def _on_drain(self, _: DrainBegun) -> None:
+    def _on_drain(self, _: DrainStarted) -> None:
         self._draining = True
         self._next_status_at = 0.0
         self._judge_peers(self._environment.now())
@@ -234,19 +234,19 @@
         silent_after_s = SILENT_ROUNDS * self._interval_s * self._rounds_to_hear_all()
         heard = {
             vm_id
-            for vm_id, peer in self._heard_by_vm.items()
-            if now - peer.heard_at <= silent_after_s
+            for vm_id, peer in self._status_by_vm.items()
+            if now - peer.last_seen_at <= silent_after_s
         }
         listed = {vm.id for vm in self._views.membership.listed_entry_vms()}
         silent = listed - heard - {self._own_id}
         if self._is_large_fleet():
             # Most were never heard: a word from each takes a minute and more.
-            silent &= self._heard_by_vm.keys()
+            silent &= self._status_by_vm.keys()
         unreachable = frozenset(silent)
-        draining = {vm for vm in heard if self._heard_by_vm[vm].notice.draining}
+        draining = {vm for vm in heard if self._status_by_vm[vm].notice.draining}
         if self._draining:
             draining.add(self._own_id)
-        starting = {vm for vm in heard if not self._heard_by_vm[vm].notice.serving}
+        starting = {vm for vm in heard if not self._status_by_vm[vm].notice.serving}
         before = self._views.membership
         after = before.with_changes(
             unreachable_ids=unreachable,
@@ -258,7 +258,7 @@
         self._views.membership = after
         for vm_id in unreachable - before.unreachable_ids:
             logger.info("entry VM %s fell silent", vm_id)
-            self._callbacks.on_peer_gone(vm_id)
+            self._callbacks.on_peer_unreachable(vm_id)
         for vm_id in before.unreachable_ids - unreachable:
             logger.info("entry VM %s is heard", vm_id)
         self._callbacks.on_change()
@@ -282,13 +282,13 @@
         membership = self._views.membership
         reports = [
             PeerReport(
-                log_reachable=self._heard_by_vm[vm.id].notice.log_reachable,
+                log_reachable=self._status_by_vm[vm.id].notice.log_reachable,
                 catalogue_next_offset=(
-                    self._heard_by_vm[vm.id].notice.catalogue_next_offset
+                    self._status_by_vm[vm.id].notice.catalogue_next_offset
                 ),
             )
             for vm in membership.listed_entry_vms()
-            if vm.id in self._heard_by_vm and vm.id not in membership.unreachable_ids
+            if vm.id in self._status_by_vm and vm.id not in membership.unreachable_ids
         ]
         inputs = ReadinessInputs(
             catalogue_whole=self._views.catalogue is not None,
@@ -343,8 +343,8 @@
             "draining": sorted(membership.draining_ids),
             "unreachable": sorted(membership.unreachable_ids),
             "heard_s_ago": {
-                vm_id: round(now - peer.heard_at, 2)
-                for vm_id, peer in sorted(self._heard_by_vm.items())
+                vm_id: round(now - peer.last_seen_at, 2)
+                for vm_id, peer in sorted(self._status_by_vm.items())
             },
             "log_reachable": self._health.reachable,
             "serving": self._views.serving,
@@ -360,6 +360,6 @@
     return ", ".join(f"{name} {ids}" for name, ids in parts if ids) or "changed"
 
 
-def forward_list(keeper: Any) -> Callable[[tuple[VM, ...] | None], None]:
+def vm_list_callback(keeper: Any) -> Callable[[tuple[VM, ...] | None], None]:
     """Return the callback that hands the list to the keeper."""
     return lambda vms: tell(keeper, VMListRead(vms))
--- a/tests/test_claims_keeper.py
+++ b/tests/test_claims_actor.py
@@ -9,9 +9,9 @@
 import pytest
 
 from bamboovale.actors import Tick
+from bamboovale.claims.actor import ClaimActor, ClaimBatchRead, ClaimRequested
 from bamboovale.claims.fold import ClaimOutcome, Verdict
-from bamboovale.claims.keeper import ClaimAsked, ClaimBatchRead, ClaimKeeper
-from bamboovale.claims.records import Claim, group
+from bamboovale.claims.records import Claim, encode_items
 from bamboovale.environment import Environment
 from bamboovale.log_service.log_client import LogRecord, RecordBatch
 from bamboovale.metrics import Metrics
@@ -46,7 +46,7 @@
         now=lambda: log.now,
     )
     appender: Any = log
-    return ClaimKeeper.start(environment, appender)
+    return ClaimActor.start(environment, appender)
 
 
 @pytest.fixture
@@ -66,7 +66,9 @@
         # is replaced; each booking that reaches it is told "outcome unknown", because
         # the VM cannot tell a quiet stream from claims that it did not read.
         old = start(log)
-        log.append(group([Claim("j", "o", "body", "entry-1", "i1", "attempt-0")]))
+        log.append(
+            encode_items([Claim("j", "o", "body", "entry-1", "i1", "attempt-0")])
+        )
         read = 0
         for _ in range(900):
             old.ask(ClaimBatchRead(log.read(read)))
@@ -78,7 +80,7 @@
         read = len(log.records)
         future: Future[ClaimOutcome | None] = Future()
         claim = Claim("k", "o", "body", "entry-1", "i2", "attempt-1")
-        new.ask(ClaimAsked(claim, log.now + 2.0, future))
+        new.ask(ClaimRequested(claim, log.now + 2.0, future))
         new.ask(ClaimBatchRead(log.read(read)))
         outcome = future.result(timeout=1)
         assert outcome is not None and outcome.verdict is Verdict.WON
--- a/tests/test_leases_keeper.py
+++ b/tests/test_leases_actor.py
@@ -10,7 +10,7 @@
 
 from bamboovale.actors import Tick
 from bamboovale.environment import Environment
-from bamboovale.leases.keeper import LeaseKeeper
+from bamboovale.leases.actor import LeaseActor
 from bamboovale.leases.messages import (
     DumpLeases,
     LeaseBatchRead,
@@ -86,7 +86,7 @@
         on_valid=lambda *_: None,
     )
     appender: Any = log
-    actor = LeaseKeeper.start(environment, views, appender, log.health, callbacks)
+    actor = LeaseActor.start(environment, views, appender, log.health, callbacks)
     yield actor
     actor.stop()
 
@@ -105,7 +105,7 @@
         log.records.append(Renewal("r1", "dead/1", {"runner-1": 3}).to_json())
         read = 0
         for _ in range(40):
-            log.health.answered()
+            log.health.on_success()
             keeper.ask(LeaseBatchRead(log.batch(read), log.now))
             read = len(log.records)
             log.now += 0.2
@@ -179,7 +179,7 @@
     read = 0
     for _ in range(rounds):
         if not log.down:
-            log.health.answered()
+            log.health.on_success()
             keeper.ask(LeaseBatchRead(log.batch(read), log.now))
             read = len(log.records)
         log.now += 0.2
--- a/tests/test_leases_fold.py
+++ b/tests/test_leases_fold.py
@@ -13,7 +13,7 @@
     Renewed,
     Void,
 )
-from bamboovale.leases.holding import OwnLeases
+from bamboovale.leases.own_leases import OwnLeases
 from bamboovale.leases.records import Release, Renewal, Reset, Take
 from bamboovale.leases.recovery import LeaseRecovery
 from bamboovale.leases.timing import LeaseTerms
@@ -110,20 +110,20 @@
 
     def test_a_taker_waits_from_when_it_read(self) -> None:
         lease = fold(TAKE_A).lease_by_engine["engine-1"]
-        assert self.terms.may_take_at(lease, 0, 100.0) == pytest.approx(
+        assert self.terms.take_allowed_at(lease, 0, 100.0) == pytest.approx(
             3.5606, abs=1e-4
         )
-        assert self.terms.may_take_at(lease, 2, 100.0) == pytest.approx(
+        assert self.terms.take_allowed_at(lease, 2, 100.0) == pytest.approx(
             4.0606, abs=1e-4
         )
-        assert self.terms.may_take_at(None, 1, 100.0) == pytest.approx(100.25)
+        assert self.terms.take_allowed_at(None, 1, 100.0) == pytest.approx(100.25)
 
     def test_a_renewal_counts_once_it_is_read_back(self) -> None:
         table = LeaseTable.empty()
         own = OwnLeases("a")
         own.note_sent(TAKE_A, now=10.0)
         assert own.fencing("engine-1", now=10.0) is None
-        own.note_read(table.apply(0, TAKE_A.to_json(), read_at=11.0))
+        own.apply(table.apply(0, TAKE_A.to_json(), read_at=11.0))
         assert own.fencing("engine-1", now=12.9) == 0
         assert own.fencing("engine-1", now=13.0) is None
 
@@ -131,7 +131,7 @@
         own = OwnLeases("a")
         own.note_sent(TAKE_A, now=10.0)
         own.note_sent(TAKE_A, now=12.0)
-        own.note_read(LeaseTable.empty().apply(0, TAKE_A.to_json(), read_at=12.5))
+        own.apply(LeaseTable.empty().apply(0, TAKE_A.to_json(), read_at=12.5))
         assert own.fencing("engine-1", now=13.5) is None
 
     def test_a_holder_stops_before_it_releases(self) -> None:
@@ -139,8 +139,8 @@
         # anything yet: it must have stopped by itself.
         own = OwnLeases("a")
         own.note_sent(TAKE_A, now=10.0)
-        own.note_read(LeaseTable.empty().apply(0, TAKE_A.to_json(), read_at=10.0))
-        own.let_go("engine-1")
+        own.apply(LeaseTable.empty().apply(0, TAKE_A.to_json(), read_at=10.0))
+        own.drop("engine-1")
         assert own.fencing("engine-1", now=10.1) is None
         assert not own.renewal("r2").fencing_by_engine
 
@@ -150,11 +150,11 @@
         table = fold(TAKE_A)
         own = OwnLeases("b")
         release = Release("r2", "a", "engine-1", fencing=0, next_node="b")
-        own.note_read(table.apply(1, release.to_json(), read_at=20.0))
+        own.apply(table.apply(1, release.to_json(), read_at=20.0))
         assert own.fencing("engine-1", now=20.0) is None
         renewal = own.renewal("r3")
         own.note_sent(renewal, now=20.0)
-        own.note_read(table.apply(2, renewal.to_json(), read_at=20.1))
+        own.apply(table.apply(2, renewal.to_json(), read_at=20.1))
         assert own.fencing("engine-1", now=20.1) == 1
 
 
@@ -170,7 +170,7 @@
     def test_a_long_take_is_waited_for(self) -> None:
         table = fold(replace(TAKE_A, term_s=10.0))
         lease = table.lease_by_engine["engine-1"]
-        assert self.terms.may_take_at(lease, 0, 0.0) == 10.5
+        assert self.terms.take_allowed_at(lease, 0, 0.0) == 10.5
 
     def test_a_shorter_renewal_does_not_end_a_longer_term(self) -> None:
         table = fold(
@@ -178,13 +178,13 @@
             Renewal("r2", "a", {"engine-1": 0}, term_s=1.0),
         )
         lease = table.lease_by_engine["engine-1"]
-        assert self.terms.may_take_at(lease, 0, 0.0) == 11.5
+        assert self.terms.take_allowed_at(lease, 0, 0.0) == 11.5
 
     def test_the_holder_counts_the_term_that_it_named(self) -> None:
         own = OwnLeases("a")
         take = replace(TAKE_A, term_s=10.0)
         own.note_sent(take, now=0.0)
-        own.note_read(LeaseTable.empty().apply(0, take.to_json(), read_at=0.1))
+        own.apply(LeaseTable.empty().apply(0, take.to_json(), read_at=0.1))
         assert own.fencing("engine-1", now=9.9) == 0
         assert own.fencing("engine-1", now=10.0) is None
 
@@ -227,7 +227,7 @@
         log: list[Any] = [None, None, Renewal("r1", "dead", {"engine-1": 0}).to_json()]
         recovery = LeaseRecovery(first=2, now=100.0)
         assert recovery.add(2, log[2], read_at=101.0) is None
-        assert recovery.may_reset_at(self.terms, rank=0) == 104.5
+        assert recovery.reset_allowed_at(self.terms, rank=0) == 104.5
         reset = recovery.reset("r2", "a").to_json()
         table = recovery.add(3, reset, read_at=105.0)
         assert table is not None and table.next_offset == 4
@@ -250,8 +250,8 @@
         table = fold(TAKE_A)
         own = OwnLeases("a")
         own.note_sent(TAKE_A, now=0.0)
-        own.note_read(Moved(0, "r1", "engine-1", None, "a", 0, by_release=False))
+        own.apply(Moved(0, "r1", "engine-1", None, "a", 0, by_release=False))
         outcome = table.apply(1, Reset("r2", "b", after=0).to_json(), read_at=9.0)
         assert isinstance(outcome, Cleared)
-        own.note_read(outcome)
+        own.apply(outcome)
         assert not own.held_by_engine and not table.lease_by_engine
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -13,11 +13,11 @@
 from bamboovale.environment import Environment
 from bamboovale.http_client import HttpClient
 from bamboovale.log_service.follower import LogHealth
-from bamboovale.membership.keeper import (
+from bamboovale.membership.actor import (
     FANOUT,
     LARGE_FLEET_FANOUT,
+    MembershipActor,
     MembershipCallbacks,
-    MembershipKeeper,
     StatusReceived,
     VMListRead,
 )
@@ -44,14 +44,14 @@
             logging.getLogger("test"),
             now=lambda: self.now,
         )
-        self.keeper = MembershipKeeper.start(
+        self.keeper = MembershipActor.start(
             environment,
             self.views,
             LogHealth(lambda: self.now),
             MembershipCallbacks(
                 send=lambda vm_id, notice: self.sent_to.append(vm_id),
                 on_change=lambda: None,
-                on_peer_gone=lambda vm_id: None,
+                on_peer_unreachable=lambda vm_id: None,
                 on_peer_ahead=lambda vm_id, offset: None,
                 on_hint=lambda hint: None,
                 on_interval=lambda: None,
