--- a/bamboovale/entry/crashes.py
+++ b/bamboovale/entry/crashes.py
@@ -10,7 +10,7 @@
 from bamboovale.decisions.suspects import CrashNotice
 from bamboovale.decisions.work import Permit
 from bamboovale.engines.client import EngineAddress, EngineOrders
-from bamboovale.entry.desk import DecisionDesk
+from bamboovale.entry.desk import DecisionFacade
 from bamboovale.environment import Environment
 from bamboovale.views import Views
 
@@ -29,7 +29,7 @@
         self,
         environment: Environment,
         views: Views,
-        desk: DecisionDesk,
+        desk: DecisionFacade,
         engines: EngineOrders,
         publish: Callable[[CrashNotice], None],
     ) -> None:
--- a/bamboovale/entry/desk.py
+++ b/bamboovale/entry/desk.py
@@ -30,7 +30,7 @@
 """Threads kept free of admitted work, so that a full VM still refuses at once."""
 
 
-class DecisionDesk:
+class DecisionFacade:
     """Placement, admission, routing, retries and suspects of this entry VM.
 
     The decisions are pure and take microseconds; a lock around them costs less than a
--- a/bamboovale/entry/model_runs.py
+++ b/bamboovale/entry/model_runs.py
@@ -10,7 +10,7 @@
 from bamboovale.catalogue.entries import AdapterEntry
 from bamboovale.claims.answers import AnswerState
 from bamboovale.entry.caller_request import CallerRequest
-from bamboovale.entry.desk import DecisionDesk
+from bamboovale.entry.desk import DecisionFacade
 from bamboovale.entry.ending import (
     JSON_TYPE,
     CallerAnswer,
@@ -55,7 +55,7 @@
         self,
         environment: Environment,
         views: Views,
-        desk: DecisionDesk,
+        desk: DecisionFacade,
         permits: PermitDesk,
         connections: EndpointConnections,
     ) -> None:
--- a/bamboovale/entry/service_calls.py
+++ b/bamboovale/entry/service_calls.py
@@ -9,7 +9,7 @@
 from bamboovale.decisions.admission import Limits
 from bamboovale.entry.admitted import AdmittedRequests
 from bamboovale.entry.caller_request import CallerRequest
-from bamboovale.entry.desk import DecisionDesk
+from bamboovale.entry.desk import DecisionFacade
 from bamboovale.entry.ending import CallerAnswer
 from bamboovale.entry.endpoint_connections import (
     ConnectFailedError,
@@ -54,7 +54,7 @@
         self,
         environment: Environment,
         views: Views,
-        desk: DecisionDesk,
+        desk: DecisionFacade,
         connections: EndpointConnections,
         hangups: HangupWatcher,
         admitted: AdmittedRequests,
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -37,7 +37,7 @@
 from bamboovale.entry.admitted import AdmittedRequests
 from bamboovale.entry.callers_side import CallerParts, build_caller_app
 from bamboovale.entry.crashes import CrashReports
-from bamboovale.entry.desk import DecisionDesk
+from bamboovale.entry.desk import DecisionFacade
 from bamboovale.entry.endpoint_connections import EndpointConnections
 from bamboovale.entry.hangups import HangupWatcher
 from bamboovale.entry.holder_links import HolderRoutes
@@ -114,7 +114,7 @@
         self._connections = EndpointConnections(settings.address)
         self._hangups = HangupWatcher()
         self._answers = AnswerStore()
-        self.desk = DecisionDesk(environment, self.views, self._policy)
+        self.desk = DecisionFacade(environment, self.views, self._policy)
         self._appender_by_stream = {
             stream: Appender(environment, self._log, stream)
             for stream in (CATALOGUE_STREAM, LEASE_STREAM, CLAIM_STREAM, NOTICE_STREAM)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -7,7 +7,7 @@
 
 from bamboovale.decisions.policy import Policy
 from bamboovale.decisions.routing import FAILURES_TO_EJECT
-from bamboovale.entry.desk import DecisionDesk
+from bamboovale.entry.desk import DecisionFacade
 from bamboovale.environment import Environment
 from bamboovale.models import VM, VMKind
 from bamboovale.settings import Settings
@@ -101,7 +101,7 @@
         views.membership = views.membership.with_changes(
             vms=[replace(row, pool="market-app") for row in rows]
         )
-        desk = DecisionDesk(environment, views, Policy.chosen())
+        desk = DecisionFacade(environment, views, Policy.chosen())
         desk.on_membership()
         for number in range(20):
             # Left to chance, s0 may be drawn too seldom to be ejected at all.
