--- a/bamboovale/entry/callers_side.py
+++ b/bamboovale/entry/callers_side.py
@@ -5,7 +5,7 @@
 from bamboovale.entry.admitted import AdmittedRequests
 from bamboovale.entry.caller_app import CallerApp
 from bamboovale.entry.crashes import CrashReports
-from bamboovale.entry.desk import DecisionFacade
+from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.endpoint_connections import EndpointConnections
 from bamboovale.entry.hangups import HangupWatcher
 from bamboovale.entry.model_requests import ModelRequests
--- a/bamboovale/entry/crashes.py
+++ b/bamboovale/entry/crashes.py
@@ -10,7 +10,7 @@
 from bamboovale.decisions.suspects import CrashNotice
 from bamboovale.decisions.work import Permit
 from bamboovale.engines.client import EngineAddress, EngineOrders
-from bamboovale.entry.desk import DecisionFacade
+from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.environment import Environment
 from bamboovale.views import Views
 
--- a/bamboovale/entry/model_requests.py
+++ b/bamboovale/entry/model_requests.py
@@ -19,7 +19,7 @@
 )
 from bamboovale.entry.caller_request import CallerRequest
 from bamboovale.entry.crashes import CrashReports
-from bamboovale.entry.desk import DecisionFacade
+from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.ending import CallerAnswer
 from bamboovale.entry.engine_run import RunFailedError, RunFailure
 from bamboovale.entry.hangups import HangupWatcher
--- a/bamboovale/entry/model_runs.py
+++ b/bamboovale/entry/model_runs.py
@@ -10,7 +10,7 @@
 from bamboovale.catalogue.entries import AdapterEntry
 from bamboovale.claims.answers import AnswerState
 from bamboovale.entry.caller_request import CallerRequest
-from bamboovale.entry.desk import DecisionFacade
+from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.ending import (
     JSON_TYPE,
     CallerAnswer,
--- a/bamboovale/entry/service_calls.py
+++ b/bamboovale/entry/service_calls.py
@@ -9,7 +9,7 @@
 from bamboovale.decisions.admission import Limits
 from bamboovale.entry.admitted import AdmittedRequests
 from bamboovale.entry.caller_request import CallerRequest
-from bamboovale.entry.desk import DecisionFacade
+from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.ending import CallerAnswer
 from bamboovale.entry.endpoint_connections import (
     ConnectFailedError,
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -37,7 +37,7 @@
 from bamboovale.entry.admitted import AdmittedRequests
 from bamboovale.entry.callers_side import CallerParts, build_caller_app
 from bamboovale.entry.crashes import CrashReports
-from bamboovale.entry.desk import DecisionFacade
+from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.endpoint_connections import EndpointConnections
 from bamboovale.entry.hangups import HangupWatcher
 from bamboovale.entry.holder_links import HolderRoutes
--- a/bench/guards.py
+++ b/bench/guards.py
@@ -152,7 +152,7 @@
                 "        return vm is None",
             ),
             Change(
-                "bamboovale/entry/desk.py",
+                "bamboovale/entry/decision_facade.py",
                 'if vm.state == "live"]',
                 "]",
             ),
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -7,7 +7,7 @@
 
 from bamboovale.decisions.policy import Policy
 from bamboovale.decisions.routing import FAILURES_TO_EJECT
-from bamboovale.entry.desk import DecisionFacade
+from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.environment import Environment
 from bamboovale.models import VM, VMKind
 from bamboovale.settings import Settings
