--- a/bamboovale/entry/callers_side.py
+++ b/bamboovale/entry/callers_side.py
@@ -10,7 +10,7 @@
 from bamboovale.entry.hangups import HangupWatcher
 from bamboovale.entry.model_requests import ModelRequests
 from bamboovale.entry.model_runs import ModelRuns
-from bamboovale.entry.permits import PermitDesk
+from bamboovale.entry.permits import PermitClient
 from bamboovale.entry.service_calls import ServiceCalls
 from bamboovale.environment import Environment
 from bamboovale.views import Views
@@ -23,7 +23,7 @@
     environment: Environment
     views: Views
     desk: DecisionFacade
-    permits: PermitDesk
+    permits: PermitClient
     connections: EndpointConnections
     hangups: HangupWatcher
     admitted: AdmittedRequests
--- a/bamboovale/entry/model_requests.py
+++ b/bamboovale/entry/model_requests.py
@@ -34,7 +34,7 @@
     Hangup,
     HeldPermit,
     Outdated,
-    PermitDesk,
+    PermitClient,
     TryElsewhere,
 )
 from bamboovale.environment import Environment
@@ -70,7 +70,7 @@
         environment: Environment,
         views: Views,
         desk: DecisionFacade,
-        permits: PermitDesk,
+        permits: PermitClient,
         runs: ModelRuns,
         hangups: HangupWatcher,
         admitted: AdmittedRequests,
--- a/bamboovale/entry/model_runs.py
+++ b/bamboovale/entry/model_runs.py
@@ -27,7 +27,7 @@
     RunTarget,
 )
 from bamboovale.entry.model_call import ModelCall
-from bamboovale.entry.permits import Hangup, HeldPermit, PermitDesk
+from bamboovale.entry.permits import Hangup, HeldPermit, PermitClient
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
 from bamboovale.views import Views
@@ -56,7 +56,7 @@
         environment: Environment,
         views: Views,
         desk: DecisionFacade,
-        permits: PermitDesk,
+        permits: PermitClient,
         connections: EndpointConnections,
     ) -> None:
         self._environment = environment
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -18,7 +18,7 @@
 from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.holder_links import deliver_ask, deliver_notice
 from bamboovale.entry.holders import Holders
-from bamboovale.entry.permits import PermitDesk
+from bamboovale.entry.permits import PermitClient
 from bamboovale.membership.keeper import StatusReceived
 from bamboovale.peers.messages import (
     AnswerKept,
@@ -52,7 +52,7 @@
     membership: pykka.ActorRef
     load_turns: pykka.ActorRef
     holders: Holders
-    permits: PermitDesk
+    permits: PermitClient
     desk: DecisionFacade
     answers: AnswerStore
     give_turn: Callable[[LoadTurnGiven], None]
--- a/bamboovale/entry/permits.py
+++ b/bamboovale/entry/permits.py
@@ -100,7 +100,7 @@
             interrupt()
 
 
-class PermitDesk:
+class PermitClient:
     """Asks for permits and keeps the list of those in use."""
 
     def __init__(self, environment: Environment, links: HolderLinks) -> None:
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -46,7 +46,7 @@
 from bamboovale.entry.keyed import KeyedRequests
 from bamboovale.entry.peer_exchange import PeerExchange, read_crash_notice
 from bamboovale.entry.peer_handler import PeerHandler, PeerTargets
-from bamboovale.entry.permits import PermitDesk
+from bamboovale.entry.permits import PermitClient
 from bamboovale.entry.state_dump import StateDump, as_json
 from bamboovale.environment import Environment
 from bamboovale.http_client import HttpClient
@@ -208,7 +208,7 @@
         environment = self.environment
         settings = environment.settings
         routes = HolderRoutes(settings.id, self.views, self._holders, self._links)
-        self._permits = PermitDesk(environment, routes)
+        self._permits = PermitClient(environment, routes)
         keyed = KeyedRequests(
             environment,
             self._claims,
--- a/tests/test_entry_permits.py
+++ b/tests/test_entry_permits.py
@@ -12,7 +12,7 @@
     Hangup,
     HeldPermit,
     Outdated,
-    PermitDesk,
+    PermitClient,
     TryElsewhere,
 )
 from bamboovale.environment import Environment
@@ -92,7 +92,7 @@
             now=self.clock,
         )
         self.links = FakeLinks()
-        self.desk = PermitDesk(environment, self.links)
+        self.desk = PermitClient(environment, self.links)
         self.hangup = Hangup()
         self.wanted = True
         self.item = WorkItem(
