--- a/bamboovale/entry/callers_side.py
+++ b/bamboovale/entry/callers_side.py
@@ -7,7 +7,7 @@
 from bamboovale.entry.crashes import CrashReports
 from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.endpoint_connections import EndpointConnections
-from bamboovale.entry.hangups import HangupWatcher
+from bamboovale.entry.hangups import DisconnectWatcher
 from bamboovale.entry.model_requests import ModelRequests
 from bamboovale.entry.model_runs import ModelRuns
 from bamboovale.entry.permits import PermitClient
@@ -25,7 +25,7 @@
     desk: DecisionFacade
     permits: PermitClient
     connections: EndpointConnections
-    hangups: HangupWatcher
+    hangups: DisconnectWatcher
     admitted: AdmittedRequests
     crashes: CrashReports
 
--- a/bamboovale/entry/hangups.py
+++ b/bamboovale/entry/hangups.py
@@ -15,7 +15,7 @@
 _GONE = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
 
 
-class HangupWatcher:
+class DisconnectWatcher:
     """One thread that watches the sockets of all waiting callers."""
 
     def __init__(self) -> None:
--- a/bamboovale/entry/model_requests.py
+++ b/bamboovale/entry/model_requests.py
@@ -22,7 +22,7 @@
 from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.ending import CallerAnswer
 from bamboovale.entry.engine_run import RunFailedError, RunFailure
-from bamboovale.entry.hangups import HangupWatcher
+from bamboovale.entry.hangups import DisconnectWatcher
 from bamboovale.entry.model_call import (
     DEFAULT_MAX_TOKENS,
     ModelCall,
@@ -72,7 +72,7 @@
         desk: DecisionFacade,
         permits: PermitClient,
         runs: ModelRuns,
-        hangups: HangupWatcher,
+        hangups: DisconnectWatcher,
         admitted: AdmittedRequests,
         crashes: CrashReports,
     ) -> None:
--- a/bamboovale/entry/service_calls.py
+++ b/bamboovale/entry/service_calls.py
@@ -17,7 +17,7 @@
     Exchange,
     ExchangeFailedError,
 )
-from bamboovale.entry.hangups import HangupWatcher
+from bamboovale.entry.hangups import DisconnectWatcher
 from bamboovale.entry.permits import Hangup
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
@@ -56,7 +56,7 @@
         views: Views,
         desk: DecisionFacade,
         connections: EndpointConnections,
-        hangups: HangupWatcher,
+        hangups: DisconnectWatcher,
         admitted: AdmittedRequests,
     ) -> None:
         self._environment = environment
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -39,7 +39,7 @@
 from bamboovale.entry.crashes import CrashReports
 from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.endpoint_connections import EndpointConnections
-from bamboovale.entry.hangups import HangupWatcher
+from bamboovale.entry.hangups import DisconnectWatcher
 from bamboovale.entry.holder_links import HolderRoutes
 from bamboovale.entry.holders import HolderLinksToVM, Holders
 from bamboovale.entry.http_server import HttpListener
@@ -112,7 +112,7 @@
         self._ticker = Ticker()
         self._engines = VllmEngineOrders(self._http)
         self._connections = EndpointConnections(settings.address)
-        self._hangups = HangupWatcher()
+        self._hangups = DisconnectWatcher()
         self._answers = AnswerStore()
         self.desk = DecisionFacade(environment, self.views, self._policy)
         self._appender_by_stream = {
