--- a/bamboovale/entry/callers_side.py
+++ b/bamboovale/entry/callers_side.py
@@ -6,8 +6,8 @@
 from bamboovale.entry.caller_app import CallerApp
 from bamboovale.entry.crashes import CrashReports
 from bamboovale.entry.decision_facade import DecisionFacade
+from bamboovale.entry.disconnects import DisconnectWatcher
 from bamboovale.entry.endpoint_connections import EndpointConnections
-from bamboovale.entry.hangups import DisconnectWatcher
 from bamboovale.entry.model_requests import ModelRequests
 from bamboovale.entry.model_runs import ModelRuns
 from bamboovale.entry.permits import PermitClient
--- a/bamboovale/entry/model_requests.py
+++ b/bamboovale/entry/model_requests.py
@@ -20,9 +20,9 @@
 from bamboovale.entry.caller_request import CallerRequest
 from bamboovale.entry.crashes import CrashReports
 from bamboovale.entry.decision_facade import DecisionFacade
+from bamboovale.entry.disconnects import DisconnectWatcher
 from bamboovale.entry.ending import CallerAnswer
 from bamboovale.entry.engine_run import RunFailedError, RunFailure
-from bamboovale.entry.hangups import DisconnectWatcher
 from bamboovale.entry.model_call import (
     DEFAULT_MAX_TOKENS,
     ModelCall,
--- a/bamboovale/entry/service_calls.py
+++ b/bamboovale/entry/service_calls.py
@@ -10,6 +10,7 @@
 from bamboovale.entry.admitted import AdmittedRequests
 from bamboovale.entry.caller_request import CallerRequest
 from bamboovale.entry.decision_facade import DecisionFacade
+from bamboovale.entry.disconnects import DisconnectWatcher
 from bamboovale.entry.ending import CallerAnswer
 from bamboovale.entry.endpoint_connections import (
     ConnectFailedError,
@@ -17,7 +18,6 @@
     Exchange,
     ExchangeFailedError,
 )
-from bamboovale.entry.hangups import DisconnectWatcher
 from bamboovale.entry.permits import Hangup
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -38,8 +38,8 @@
 from bamboovale.entry.callers_side import CallerParts, build_caller_app
 from bamboovale.entry.crashes import CrashReports
 from bamboovale.entry.decision_facade import DecisionFacade
+from bamboovale.entry.disconnects import DisconnectWatcher
 from bamboovale.entry.endpoint_connections import EndpointConnections
-from bamboovale.entry.hangups import DisconnectWatcher
 from bamboovale.entry.holder_links import HolderRoutes
 from bamboovale.entry.holders import HolderLinksToVM, Holders
 from bamboovale.entry.http_server import HttpListener
