--- a/bamboovale/entry/attempts.py
+++ b/bamboovale/entry/attempts.py
@@ -6,7 +6,7 @@
 from bamboovale.entry.caller_request import CallerRequest
 from bamboovale.entry.engine_run import RunFailedError
 from bamboovale.entry.model_call import ModelCall
-from bamboovale.entry.permits import Hangup
+from bamboovale.entry.permits import DisconnectSignal
 from bamboovale.errors import ErrorCode, Refusal
 
 
@@ -34,7 +34,7 @@
     call: ModelCall
     entry: AdapterEntry
     idempotent: bool
-    hangup: Hangup
+    hangup: DisconnectSignal
     latest_start: float
     fingerprint: str
     excluded: set[str] = field(default_factory=set)
--- a/bamboovale/entry/model_requests.py
+++ b/bamboovale/entry/model_requests.py
@@ -31,7 +31,7 @@
 from bamboovale.entry.model_runs import ModelRuns, RunOrder
 from bamboovale.entry.permits import (
     CallerGone,
-    Hangup,
+    DisconnectSignal,
     HeldPermit,
     Outdated,
     PermitClient,
@@ -122,7 +122,7 @@
             call=call,
             entry=entry,
             idempotent=request.idempotent is not False,
-            hangup=Hangup(),
+            hangup=DisconnectSignal(),
             latest_start=request.arrived_at + wait_s,
             fingerprint=fingerprint,
         )
--- a/bamboovale/entry/model_runs.py
+++ b/bamboovale/entry/model_runs.py
@@ -27,7 +27,7 @@
     RunTarget,
 )
 from bamboovale.entry.model_call import ModelCall
-from bamboovale.entry.permits import Hangup, HeldPermit, PermitClient
+from bamboovale.entry.permits import DisconnectSignal, HeldPermit, PermitClient
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
 from bamboovale.views import Views
@@ -69,7 +69,7 @@
         self,
         order: RunOrder,
         request: CallerRequest,
-        hangup: Hangup,
+        hangup: DisconnectSignal,
     ) -> CallerAnswer:
         """Return the answer, or raise RunFailedError if there is none to pass on."""
         with contextlib.ExitStack() as stack:
--- a/bamboovale/entry/permits.py
+++ b/bamboovale/entry/permits.py
@@ -79,7 +79,7 @@
 Answer = HeldPermit | Refusal | TryElsewhere | CallerGone | Outdated
 
 
-class Hangup:
+class DisconnectSignal:
     """What a caller's hang-up interrupts: the wait or the run of its request."""
 
     def __init__(self) -> None:
@@ -113,7 +113,7 @@
         self,
         item: WorkItem,
         engine_id: str,
-        hangup: Hangup,
+        hangup: DisconnectSignal,
         still_wanted: Callable[[], bool],
     ) -> Answer:
         """Wait for a place on the engine, while the version is ``still_wanted``."""
@@ -183,7 +183,7 @@
 
     def run(
         self,
-        hangup: Hangup,
+        hangup: DisconnectSignal,
         still_wanted: Callable[[], bool],
         keep: Callable[[HeldPermit], None],
     ) -> Answer:
--- a/bamboovale/entry/service_calls.py
+++ b/bamboovale/entry/service_calls.py
@@ -18,7 +18,7 @@
     Exchange,
     ExchangeFailedError,
 )
-from bamboovale.entry.permits import Hangup
+from bamboovale.entry.permits import DisconnectSignal
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
 from bamboovale.views import Views
@@ -245,7 +245,7 @@
         self.entry = entry
         self.path = path
         self.idempotent = idempotent
-        self.hangup = Hangup()
+        self.hangup = DisconnectSignal()
         self.excluded: set[str] = set()
         self.tries = 0
         self.ran = False
--- a/tests/test_entry_permits.py
+++ b/tests/test_entry_permits.py
@@ -9,7 +9,7 @@
 from bamboovale.decisions.work import Permit, WorkItem
 from bamboovale.entry.permits import (
     CallerGone,
-    Hangup,
+    DisconnectSignal,
     HeldPermit,
     Outdated,
     PermitClient,
@@ -93,7 +93,7 @@
         )
         self.links = FakeLinks()
         self.desk = PermitClient(environment, self.links)
-        self.hangup = Hangup()
+        self.hangup = DisconnectSignal()
         self.wanted = True
         self.item = WorkItem(
             request_id="r.1",
