--- a/bamboovale/entry/model_requests.py
+++ b/bamboovale/entry/model_requests.py
@@ -30,7 +30,7 @@
 )
 from bamboovale.entry.model_runs import ModelRuns, RunOrder
 from bamboovale.entry.permits import (
-    CallerGone,
+    CallerDisconnected,
     DisconnectSignal,
     HeldPermit,
     Outdated,
@@ -224,7 +224,7 @@
         )
         if isinstance(answer, HeldPermit):
             return answer
-        if isinstance(answer, CallerGone):
+        if isinstance(answer, CallerDisconnected):
             raise HungUpError
         if isinstance(answer, Outdated):
             self._follow_catalogue(attempts, self._find_entry(attempts.entry.name))
--- a/bamboovale/entry/permits.py
+++ b/bamboovale/entry/permits.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True)
-class CallerGone:
+class CallerDisconnected:
     """The caller hung up while its request waited."""
 
 
@@ -76,7 +76,7 @@
     send_by: float
 
 
-Answer = HeldPermit | Refusal | TryElsewhere | CallerGone | Outdated
+Answer = HeldPermit | Refusal | TryElsewhere | CallerDisconnected | Outdated
 
 
 class DisconnectSignal:
@@ -188,7 +188,7 @@
         keep: Callable[[HeldPermit], None],
     ) -> Answer:
         """Ask, repeat the ask while waiting, and settle how the wait ends."""
-        hangup.attach(lambda: self._mailbox.put(CallerGone()))
+        hangup.attach(lambda: self._mailbox.put(CallerDisconnected()))
         future = self._ask()
         future.add_done_callback(self._mailbox.put)
         while True:
@@ -200,7 +200,7 @@
                     continue
                 self._give_up(future)
                 return ending
-            if isinstance(event, CallerGone):
+            if isinstance(event, CallerDisconnected):
                 self._give_up(future)
                 return event
             return self._settle(event, keep)
--- a/tests/test_entry_permits.py
+++ b/tests/test_entry_permits.py
@@ -8,7 +8,7 @@
 
 from bamboovale.decisions.work import Permit, WorkItem
 from bamboovale.entry.permits import (
-    CallerGone,
+    CallerDisconnected,
     DisconnectSignal,
     HeldPermit,
     Outdated,
@@ -150,7 +150,7 @@
         desk = Desk()
         done = desk.acquire_later()
         desk.hangup.signal()
-        assert isinstance(done.result(2.0), CallerGone)
+        assert isinstance(done.result(2.0), CallerDisconnected)
         assert desk.links.told_of(PermitCancel)
 
     def test_a_lease_that_moves(self) -> None:
--- a/tests/test_model_requests.py
+++ b/tests/test_model_requests.py
@@ -15,7 +15,7 @@
 from bamboovale.entry.ending import CallerAnswer
 from bamboovale.entry.engine_run import RunFailedError, RunFailure
 from bamboovale.entry.model_requests import ModelRequests
-from bamboovale.entry.permits import CallerGone, HeldPermit, TryElsewhere
+from bamboovale.entry.permits import CallerDisconnected, HeldPermit, TryElsewhere
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
 from bamboovale.metrics import Metrics
@@ -180,7 +180,7 @@
 
     def test_a_hangup_in_the_queue_was_not_run(self) -> None:
         world = World()
-        world.played.permit_answers = [CallerGone()]
+        world.played.permit_answers = [CallerDisconnected()]
         assert world.answer().ending.state is AnswerState.NOT_RUN
 
     def test_a_hangup_during_the_run_is_unknown(self) -> None:
