--- a/bamboovale/entry/attempts.py
+++ b/bamboovale/entry/attempts.py
@@ -10,7 +10,7 @@
 from bamboovale.errors import ErrorCode, Refusal
 
 
-class HungUpError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller hung up: there is nobody to answer."""
 
 
--- a/bamboovale/entry/model_requests.py
+++ b/bamboovale/entry/model_requests.py
@@ -11,8 +11,8 @@
 from bamboovale.entry.admitted import AdmittedRequests
 from bamboovale.entry.attempts import (
     Attempts,
+    CallerDisconnectedError,
     FinalRefusalError,
-    HungUpError,
     endpoint_error,
     outcome_unknown,
     rejection,
@@ -150,7 +150,7 @@
                     not_run=final.refusal.not_run and not ran,
                 )
                 return CallerAnswer.refusal(refusal, request.request_id)
-            except HungUpError:
+            except CallerDisconnectedError:
                 refusal = Refusal(
                     ErrorCode.BAD_REQUEST,
                     "the caller hung up",
@@ -225,7 +225,7 @@
         if isinstance(answer, HeldPermit):
             return answer
         if isinstance(answer, CallerDisconnected):
-            raise HungUpError
+            raise CallerDisconnectedError
         if isinstance(answer, Outdated):
             self._follow_catalogue(attempts, self._find_entry(attempts.entry.name))
             return None
@@ -290,7 +290,7 @@
         request = attempts.request
         give_up_at = min(attempts.latest_start, request.arrived_at + SEARCH_S)
         if attempts.hangup.gone:
-            raise HungUpError
+            raise CallerDisconnectedError
         # An engine whose lease is moving may have the adapter loaded: look again.
         looked_long_enough = not attempts.unanswered or now >= give_up_at
         if attempts.unloadable is not None and looked_long_enough:
@@ -319,7 +319,7 @@
         """Decide whether the request may be tried again; raise if it may not."""
         if attempts.hangup.gone:
             attempts.runs += not failed.not_run
-            raise HungUpError
+            raise CallerDisconnectedError
         if failed.failure is RunFailure.REJECTED:
             raise FinalRefusalError(rejection(failed))
         if failed.not_run:
