--- a/bamboovale/entry/model_requests.py
+++ b/bamboovale/entry/model_requests.py
@@ -35,7 +35,7 @@
     HeldPermit,
     Outdated,
     PermitClient,
-    TryElsewhere,
+    TryAnotherEngine,
 )
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
@@ -230,7 +230,7 @@
             self._follow_catalogue(attempts, self._find_entry(attempts.entry.name))
             return None
         attempts.excluded.add(engine_id)
-        if isinstance(answer, TryElsewhere):
+        if isinstance(answer, TryAnotherEngine):
             attempts.unanswered = True
             return None
         if answer.code is ErrorCode.LOG_UNAVAILABLE:
--- a/bamboovale/entry/permits.py
+++ b/bamboovale/entry/permits.py
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True)
-class TryElsewhere:
+class TryAnotherEngine:
     """This engine cannot serve the request; another one may."""
 
     reason: str
@@ -76,7 +76,7 @@
     send_by: float
 
 
-Answer = HeldPermit | Refusal | TryElsewhere | CallerDisconnected | Outdated
+Answer = HeldPermit | Refusal | TryAnotherEngine | CallerDisconnected | Outdated
 
 
 class DisconnectSignal:
@@ -119,7 +119,7 @@
         """Wait for a place on the engine, while the version is ``still_wanted``."""
         holder = self._links.holder_of(engine_id)
         if holder is None:
-            return TryElsewhere("the engine has no lease holder", retry_after_s=1.0)
+            return TryAnotherEngine("the engine has no lease holder", retry_after_s=1.0)
         wait = _Wait(self._environment, self._links, item, engine_id, holder)
         return wait.run(hangup, still_wanted, self._keep)
 
@@ -245,7 +245,7 @@
                 retry_after_s=1.0,
             )
         if self._links.holder_of(self._engine_id) != self._holder:
-            return TryElsewhere("the lease on the engine has moved", 0.0)
+            return TryAnotherEngine("the lease on the engine has moved", 0.0)
         left_s = max(0.0, self._item.latest_start - now)
         self._links.tell(self._holder, self._message(left_s))
         return None
@@ -258,7 +258,7 @@
         error = future.exception()
         if error is not None:
             self._cancel()
-            return TryElsewhere(f"no answer from the lease holder: {error}", 0.5)
+            return TryAnotherEngine(f"no answer from the lease holder: {error}", 0.5)
         reply: PermitReply = future.result()
         if reply.permit is None:
             return _refusal(reply)
@@ -267,7 +267,7 @@
             # Granted by a holder that does not know yet that its lease was taken: the
             # new one may evict the adapter without seeing this permit.
             self._cancel()
-            return TryElsewhere("the permit is of a former lease holder", 0.0)
+            return TryAnotherEngine("the permit is of a former lease holder", 0.0)
         keep(held)
         return held
 
@@ -301,9 +301,9 @@
         future.add_done_callback(return_late_permit)
 
 
-def _refusal(reply: PermitReply) -> Refusal | TryElsewhere:
+def _refusal(reply: PermitReply) -> Refusal | TryAnotherEngine:
     if reply.elsewhere:
-        return TryElsewhere(reply.reason, reply.retry_after_s)
+        return TryAnotherEngine(reply.reason, reply.retry_after_s)
     return Refusal(
         reply.code or ErrorCode.OVERLOADED,
         reply.reason,
--- a/tests/test_entry_permits.py
+++ b/tests/test_entry_permits.py
@@ -13,7 +13,7 @@
     HeldPermit,
     Outdated,
     PermitClient,
-    TryElsewhere,
+    TryAnotherEngine,
 )
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
@@ -138,12 +138,12 @@
     def test_no_holder(self) -> None:
         desk = Desk()
         desk.links.holder = None
-        assert isinstance(desk.acquire(), TryElsewhere)
+        assert isinstance(desk.acquire(), TryAnotherEngine)
 
     def test_a_lost_link_cancels_the_ask(self) -> None:
         desk = Desk()
         desk.links.future.set_exception(ConnectionError("lost"))
-        assert isinstance(desk.acquire(), TryElsewhere)
+        assert isinstance(desk.acquire(), TryAnotherEngine)
         assert desk.links.told_of(PermitCancel)
 
     def test_a_hangup(self) -> None:
@@ -157,7 +157,7 @@
         desk = Desk()
         done = desk.acquire_later()
         desk.links.holder = "e3"
-        assert isinstance(done.result(2.0), TryElsewhere)
+        assert isinstance(done.result(2.0), TryAnotherEngine)
 
     def test_a_catalogue_that_names_another_version(self) -> None:
         desk = Desk()
@@ -226,5 +226,5 @@
         desk = Desk()
         desk.links.fencing = 6
         desk.links.future.set_result(PermitReply("r.1", permit=permit(fencing=5)))
-        assert isinstance(desk.acquire(), TryElsewhere)
+        assert isinstance(desk.acquire(), TryAnotherEngine)
         assert desk.desk.held_count() == 0
--- a/tests/test_model_requests.py
+++ b/tests/test_model_requests.py
@@ -15,7 +15,7 @@
 from bamboovale.entry.ending import CallerAnswer
 from bamboovale.entry.engine_run import RunFailedError, RunFailure
 from bamboovale.entry.model_requests import ModelRequests
-from bamboovale.entry.permits import CallerDisconnected, HeldPermit, TryElsewhere
+from bamboovale.entry.permits import CallerDisconnected, HeldPermit, TryAnotherEngine
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
 from bamboovale.metrics import Metrics
@@ -267,7 +267,7 @@
         world = World()
         world.played.engines = ("g1", "g2")
         refusal = Refusal(ErrorCode.LOG_UNAVAILABLE, "not loaded", not_run=True)
-        nobody = TryElsewhere("the engine has no lease holder")
+        nobody = TryAnotherEngine("the engine has no lease holder")
         world.played.permit_answers = [refusal, nobody, refusal, grant]
         world.played.run_endings = [DONE]
         assert world.answer().status == 200
