--- a/bamboovale/entry/model_requests.py
+++ b/bamboovale/entry/model_requests.py
@@ -33,9 +33,9 @@
     CallerDisconnected,
     DisconnectSignal,
     HeldPermit,
-    Outdated,
     PermitClient,
     TryAnotherEngine,
+    VersionOutdated,
 )
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
@@ -226,7 +226,7 @@
             return answer
         if isinstance(answer, CallerDisconnected):
             raise CallerDisconnectedError
-        if isinstance(answer, Outdated):
+        if isinstance(answer, VersionOutdated):
             self._follow_catalogue(attempts, self._find_entry(attempts.entry.name))
             return None
         attempts.excluded.add(engine_id)
--- a/bamboovale/entry/permits.py
+++ b/bamboovale/entry/permits.py
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True)
-class Outdated:
+class VersionOutdated:
     """The catalogue names another version now: the request moves to that one."""
 
 
@@ -76,7 +76,7 @@
     send_by: float
 
 
-Answer = HeldPermit | Refusal | TryAnotherEngine | CallerDisconnected | Outdated
+Answer = HeldPermit | Refusal | TryAnotherEngine | CallerDisconnected | VersionOutdated
 
 
 class DisconnectSignal:
@@ -236,7 +236,7 @@
     def _repeat_or_end(self, still_wanted: Callable[[], bool]) -> Answer | None:
         now = self._now()
         if not still_wanted():
-            return Outdated()
+            return VersionOutdated()
         if now > self._item.latest_start + GRACE_S:
             return Refusal(
                 ErrorCode.DEADLINE,
--- a/tests/test_entry_permits.py
+++ b/tests/test_entry_permits.py
@@ -11,9 +11,9 @@
     CallerDisconnected,
     DisconnectSignal,
     HeldPermit,
-    Outdated,
     PermitClient,
     TryAnotherEngine,
+    VersionOutdated,
 )
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
@@ -163,7 +163,7 @@
         desk = Desk()
         done = desk.acquire_later()
         desk.wanted = False
-        assert isinstance(done.result(2.0), Outdated)
+        assert isinstance(done.result(2.0), VersionOutdated)
 
     def test_a_holder_that_never_answers(self) -> None:
         desk = Desk()
