--- a/bamboovale/entry/admitted.py
+++ b/bamboovale/entry/admitted.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 
 from bamboovale.decisions.admission import Arrival, Limits
+from bamboovale.entry.caller_answer import CallerAnswer, ClosingChunks
 from bamboovale.entry.caller_request import CallerRequest
 from bamboovale.entry.decision_facade import DecisionFacade
-from bamboovale.entry.ending import CallerAnswer, ClosingChunks
 from bamboovale.entry.keyed import KeyedRequests
 from bamboovale.environment import Environment
 
--- a/bamboovale/entry/caller_app.py
+++ b/bamboovale/entry/caller_app.py
@@ -10,8 +10,8 @@
 
 from result import Err
 
+from bamboovale.entry.caller_answer import JSON_TYPE, CallerAnswer, ClosingChunks
 from bamboovale.entry.caller_request import CallerRequest, read_request
-from bamboovale.entry.ending import JSON_TYPE, CallerAnswer, ClosingChunks
 from bamboovale.entry.model_call import PATHS as MODEL_PATHS
 from bamboovale.entry.model_requests import ModelRequests
 from bamboovale.entry.service_calls import PREFIX as SERVICE_PREFIX
--- a/bamboovale/entry/keyed.py
+++ b/bamboovale/entry/keyed.py
@@ -17,8 +17,8 @@
 from bamboovale.claims.fold import ClaimOutcome, KeyReport, Verdict
 from bamboovale.claims.keeper import ClaimAsked, ClaimEnded
 from bamboovale.claims.records import Answered, Claim, Released
+from bamboovale.entry.caller_answer import CallerAnswer, ClosingChunks, Ending
 from bamboovale.entry.caller_request import CallerRequest
-from bamboovale.entry.ending import CallerAnswer, ClosingChunks, Ending
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
 
--- a/bamboovale/entry/model_requests.py
+++ b/bamboovale/entry/model_requests.py
@@ -17,11 +17,11 @@
     outcome_unknown,
     rejection,
 )
+from bamboovale.entry.caller_answer import CallerAnswer
 from bamboovale.entry.caller_request import CallerRequest
 from bamboovale.entry.crashes import CrashReports
 from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.disconnects import DisconnectWatcher
-from bamboovale.entry.ending import CallerAnswer
 from bamboovale.entry.engine_run import RunFailedError, RunFailure
 from bamboovale.entry.model_call import (
     DEFAULT_MAX_TOKENS,
--- a/bamboovale/entry/model_runs.py
+++ b/bamboovale/entry/model_runs.py
@@ -9,14 +9,14 @@
 
 from bamboovale.catalogue.entries import AdapterEntry
 from bamboovale.claims.answers import AnswerState
-from bamboovale.entry.caller_request import CallerRequest
-from bamboovale.entry.decision_facade import DecisionFacade
-from bamboovale.entry.ending import (
+from bamboovale.entry.caller_answer import (
     JSON_TYPE,
     CallerAnswer,
     ClosingChunks,
     Ending,
 )
+from bamboovale.entry.caller_request import CallerRequest
+from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.endpoint_connections import EndpointConnections
 from bamboovale.entry.engine_run import (
     DONE_EVENT,
--- a/bamboovale/entry/service_calls.py
+++ b/bamboovale/entry/service_calls.py
@@ -8,10 +8,10 @@
 from bamboovale.catalogue.entries import ServiceEntry
 from bamboovale.decisions.admission import Limits
 from bamboovale.entry.admitted import AdmittedRequests
+from bamboovale.entry.caller_answer import CallerAnswer
 from bamboovale.entry.caller_request import CallerRequest
 from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.disconnects import DisconnectWatcher
-from bamboovale.entry.ending import CallerAnswer
 from bamboovale.entry.endpoint_connections import (
     ConnectFailedError,
     EndpointConnections,
--- a/tests/test_entry_keyed.py
+++ b/tests/test_entry_keyed.py
@@ -11,8 +11,8 @@
 from bamboovale.claims.fold import ClaimOutcome, KeyReport, KeyState, Verdict
 from bamboovale.claims.keeper import ClaimAsked, ClaimEnded
 from bamboovale.claims.records import Answered, Released
+from bamboovale.entry.caller_answer import CallerAnswer, Ending
 from bamboovale.entry.caller_request import CallerRequest
-from bamboovale.entry.ending import CallerAnswer, Ending
 from bamboovale.entry.keyed import KeyedRequests
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
--- a/tests/test_model_requests.py
+++ b/tests/test_model_requests.py
@@ -11,8 +11,8 @@
 from bamboovale.catalogue.fold import Catalogue
 from bamboovale.claims.answers import AnswerState
 from bamboovale.decisions.work import Permit
+from bamboovale.entry.caller_answer import CallerAnswer
 from bamboovale.entry.caller_request import CallerRequest
-from bamboovale.entry.ending import CallerAnswer
 from bamboovale.entry.engine_run import RunFailedError, RunFailure
 from bamboovale.entry.model_requests import ModelRequests
 from bamboovale.entry.permits import CallerDisconnected, HeldPermit, TryAnotherEngine
