--- a/bamboovale/entry/caller_answer.py
+++ b/bamboovale/entry/caller_answer.py
@@ -11,7 +11,7 @@
 
 
 @dataclass
-class Ending:
+class AnswerOutcome:
     """Filled in while the answer is sent: a stream's end is known last."""
 
     state: AnswerState = AnswerState.RUNNING
@@ -59,7 +59,7 @@
     status: int
     headers: list[tuple[str, str]]
     chunks: Iterable[bytes]
-    ending: Ending = field(default_factory=Ending)
+    ending: AnswerOutcome = field(default_factory=AnswerOutcome)
 
     @classmethod
     def whole(
@@ -73,7 +73,7 @@
             status,
             [*headers, ("Content-Length", str(len(body)))],
             [body],
-            Ending(AnswerState.ANSWERED),
+            AnswerOutcome(AnswerState.ANSWERED),
         )
 
     @classmethod
@@ -88,7 +88,7 @@
         if refusal.retry_after_s is not None:
             headers.append(("Retry-After", _whole_seconds(refusal.retry_after_s)))
         state = AnswerState.NOT_RUN if refusal.not_run else AnswerState.UNKNOWN
-        ending = Ending(state, refusal.code.value)
+        ending = AnswerOutcome(state, refusal.code.value)
         return cls(refusal.status, headers, [body], ending)
 
 
--- a/bamboovale/entry/keyed.py
+++ b/bamboovale/entry/keyed.py
@@ -17,7 +17,7 @@
 from bamboovale.claims.fold import ClaimOutcome, KeyReport, Verdict
 from bamboovale.claims.keeper import ClaimAsked, ClaimEnded
 from bamboovale.claims.records import Answered, Claim, Released
-from bamboovale.entry.caller_answer import CallerAnswer, ClosingChunks, Ending
+from bamboovale.entry.caller_answer import AnswerOutcome, CallerAnswer, ClosingChunks
 from bamboovale.entry.caller_request import CallerRequest
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
@@ -229,7 +229,7 @@
         return KeptAnswer(state, answer.status, headers, bytes(self._kept))
 
 
-def _final_state(ending: Ending) -> AnswerState:
+def _final_state(ending: AnswerOutcome) -> AnswerState:
     """Return how the attempt ended; one broken off while running is unknown."""
     if ending.state is AnswerState.RUNNING:
         return AnswerState.UNKNOWN
--- a/bamboovale/entry/model_runs.py
+++ b/bamboovale/entry/model_runs.py
@@ -11,9 +11,9 @@
 from bamboovale.claims.answers import AnswerState
 from bamboovale.entry.caller_answer import (
     JSON_TYPE,
+    AnswerOutcome,
     CallerAnswer,
     ClosingChunks,
-    Ending,
 )
 from bamboovale.entry.caller_request import CallerRequest
 from bamboovale.entry.decision_facade import DecisionFacade
@@ -143,7 +143,7 @@
         """
         events = run.read_events(response)
         first = next(events, None)
-        ending = Ending()
+        ending = AnswerOutcome()
         chunks = self._pass_on(order, first, events, ending)
         held = stack.pop_all()
         return CallerAnswer(
@@ -158,7 +158,7 @@
         order: RunOrder,
         first: bytes | None,
         events: Iterator[bytes],
-        ending: Ending,
+        ending: AnswerOutcome,
     ) -> Iterator[bytes]:
         passed = 0
         try:
--- a/tests/test_entry_keyed.py
+++ b/tests/test_entry_keyed.py
@@ -11,7 +11,7 @@
 from bamboovale.claims.fold import ClaimOutcome, KeyReport, KeyState, Verdict
 from bamboovale.claims.keeper import ClaimAsked, ClaimEnded
 from bamboovale.claims.records import Answered, Released
-from bamboovale.entry.caller_answer import CallerAnswer, Ending
+from bamboovale.entry.caller_answer import AnswerOutcome, CallerAnswer
 from bamboovale.entry.caller_request import CallerRequest
 from bamboovale.entry.keyed import KeyedRequests
 from bamboovale.environment import Environment
@@ -140,7 +140,7 @@
             raise ConnectionError
 
         keyed = Keyed()
-        answer = keyed.answer(CallerAnswer(200, [], chunks(), Ending()))
+        answer = keyed.answer(CallerAnswer(200, [], chunks(), AnswerOutcome()))
         with pytest.raises(ConnectionError):
             list(answer.chunks)
         assert keyed.answers.find("r.1").state is AnswerState.UNKNOWN
