--- a/bamboovale/entry/admitted.py
+++ b/bamboovale/entry/admitted.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from bamboovale.decisions.admission import Arrival, Limits
-from bamboovale.entry.caller_answer import CallerAnswer, ClosingChunks
+from bamboovale.entry.caller_answer import CallerAnswer, ChunksWithCleanup
 from bamboovale.entry.caller_request import CallerRequest
 from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.keyed import KeyedRequests
@@ -59,5 +59,5 @@
             else:
                 answer = self._keyed.answer(request, attempt_id, owner, run)
             held = stack.pop_all()
-        answer.chunks = ClosingChunks(answer.chunks, held.close)
+        answer.chunks = ChunksWithCleanup(answer.chunks, held.close)
         return answer
--- a/bamboovale/entry/caller_answer.py
+++ b/bamboovale/entry/caller_answer.py
@@ -18,7 +18,7 @@
     code: str = "ok"
 
 
-class ClosingChunks:
+class ChunksWithCleanup:
     """Chunks of an answer whose end is acted on exactly once, however it comes.
 
     A generator that was never begun does not run its ``finally`` when it is closed: a
--- a/bamboovale/entry/caller_app.py
+++ b/bamboovale/entry/caller_app.py
@@ -10,7 +10,7 @@
 
 from result import Err
 
-from bamboovale.entry.caller_answer import JSON_TYPE, CallerAnswer, ClosingChunks
+from bamboovale.entry.caller_answer import JSON_TYPE, CallerAnswer, ChunksWithCleanup
 from bamboovale.entry.caller_request import CallerRequest, read_request
 from bamboovale.entry.model_call import PATHS as MODEL_PATHS
 from bamboovale.entry.model_requests import ModelRequests
@@ -71,7 +71,7 @@
 
         phrase = HTTPStatus(answer.status).phrase
         start_response(f"{answer.status} {phrase}", answer.headers)
-        return ClosingChunks(answer.chunks, count_end)
+        return ChunksWithCleanup(answer.chunks, count_end)
 
     def _count(self, change: int) -> None:
         with self._lock:
--- a/bamboovale/entry/keyed.py
+++ b/bamboovale/entry/keyed.py
@@ -17,7 +17,11 @@
 from bamboovale.claims.fold import ClaimOutcome, KeyReport, Verdict
 from bamboovale.claims.keeper import ClaimAsked, ClaimEnded
 from bamboovale.claims.records import Answered, Claim, Released
-from bamboovale.entry.caller_answer import AnswerOutcome, CallerAnswer, ClosingChunks
+from bamboovale.entry.caller_answer import (
+    AnswerOutcome,
+    CallerAnswer,
+    ChunksWithCleanup,
+)
 from bamboovale.entry.caller_request import CallerRequest
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
@@ -114,7 +118,7 @@
         def settle() -> None:
             self._settle(claim, copy.kept())
 
-        chunks = ClosingChunks(copy, settle)
+        chunks = ChunksWithCleanup(copy, settle)
         return CallerAnswer(answer.status, answer.headers, chunks, answer.ending)
 
     def _settle(self, claim: Claim, kept: KeptAnswer) -> None:
--- a/bamboovale/entry/model_runs.py
+++ b/bamboovale/entry/model_runs.py
@@ -13,7 +13,7 @@
     JSON_TYPE,
     AnswerOutcome,
     CallerAnswer,
-    ClosingChunks,
+    ChunksWithCleanup,
 )
 from bamboovale.entry.caller_request import CallerRequest
 from bamboovale.entry.decision_facade import DecisionFacade
@@ -149,7 +149,7 @@
         return CallerAnswer(
             200,
             [*STREAM_HEADERS, *headers],
-            ClosingChunks(chunks, held.close),
+            ChunksWithCleanup(chunks, held.close),
             ending,
         )
 
