--- a/bamboovale/entry/admitted.py
+++ b/bamboovale/entry/admitted.py
@@ -8,7 +8,7 @@
 from bamboovale.entry.caller_answer import CallerAnswer, ChunksWithCleanup
 from bamboovale.entry.caller_request import CallerRequest
 from bamboovale.entry.decision_facade import DecisionFacade
-from bamboovale.entry.keyed import KeyedRequests
+from bamboovale.entry.idempotency_keys import KeyedRequests
 from bamboovale.environment import Environment
 
 
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -43,7 +43,7 @@
 from bamboovale.entry.holder_links import HolderRoutes
 from bamboovale.entry.holders import HolderLinksToVM, Holders
 from bamboovale.entry.http_server import HttpListener
-from bamboovale.entry.keyed import KeyedRequests
+from bamboovale.entry.idempotency_keys import KeyedRequests
 from bamboovale.entry.peer_exchange import PeerExchange, read_crash_notice
 from bamboovale.entry.peer_handler import PeerHandler, PeerTargets
 from bamboovale.entry.permits import PermitClient
--- a/bench/guards.py
+++ b/bench/guards.py
@@ -134,7 +134,7 @@
         "test_two_entry_vms_get_one_key_at_once",
         (
             Change(
-                "bamboovale/entry/keyed.py",
+                "bamboovale/entry/idempotency_keys.py",
                 "        if outcome.verdict is Verdict.WON:",
                 "        if outcome.verdict:",
             ),
--- a/tests/test_entry_keyed.py
+++ b/tests/test_entry_idempotency_keys.py
@@ -13,7 +13,7 @@
 from bamboovale.claims.records import Answered, Released
 from bamboovale.entry.caller_answer import AnswerOutcome, CallerAnswer
 from bamboovale.entry.caller_request import CallerRequest
-from bamboovale.entry.keyed import KeyedRequests
+from bamboovale.entry.idempotency_keys import KeyedRequests
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
 from bamboovale.metrics import Metrics
