--- a/bamboovale/entry/admitted.py
+++ b/bamboovale/entry/admitted.py
@@ -8,7 +8,7 @@
 from bamboovale.entry.caller_answer import CallerAnswer, ChunksWithCleanup
 from bamboovale.entry.caller_request import CallerRequest
 from bamboovale.entry.decision_facade import DecisionFacade
-from bamboovale.entry.idempotency_keys import KeyedRequests
+from bamboovale.entry.idempotency_keys import IdempotencyKeyHandler
 from bamboovale.environment import Environment
 
 
@@ -19,7 +19,7 @@
         self,
         environment: Environment,
         desk: DecisionFacade,
-        keyed: KeyedRequests,
+        keyed: IdempotencyKeyHandler,
     ) -> None:
         self._incarnation = environment.incarnation[:6]
         self._desk = desk
--- a/bamboovale/entry/idempotency_keys.py
+++ b/bamboovale/entry/idempotency_keys.py
@@ -37,7 +37,7 @@
 FindAnswer = Callable[[str, str], KeptAnswer]
 
 
-class KeyedRequests:
+class IdempotencyKeyHandler:
     """Claims the key first, then runs, then keeps the answer for repeats."""
 
     def __init__(
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -43,7 +43,7 @@
 from bamboovale.entry.holder_links import HolderRoutes
 from bamboovale.entry.holders import HolderLinksToVM, Holders
 from bamboovale.entry.http_server import HttpListener
-from bamboovale.entry.idempotency_keys import KeyedRequests
+from bamboovale.entry.idempotency_keys import IdempotencyKeyHandler
 from bamboovale.entry.peer_exchange import PeerExchange, read_crash_notice
 from bamboovale.entry.peer_handler import PeerHandler, PeerTargets
 from bamboovale.entry.permits import PermitClient
@@ -209,7 +209,7 @@
         settings = environment.settings
         routes = HolderRoutes(settings.id, self.views, self._holders, self._links)
         self._permits = PermitClient(environment, routes)
-        keyed = KeyedRequests(
+        keyed = IdempotencyKeyHandler(
             environment,
             self._claims,
             self._answers,
--- a/tests/test_entry_idempotency_keys.py
+++ b/tests/test_entry_idempotency_keys.py
@@ -13,7 +13,7 @@
 from bamboovale.claims.records import Answered, Released
 from bamboovale.entry.caller_answer import AnswerOutcome, CallerAnswer
 from bamboovale.entry.caller_request import CallerRequest
-from bamboovale.entry.idempotency_keys import KeyedRequests
+from bamboovale.entry.idempotency_keys import IdempotencyKeyHandler
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
 from bamboovale.metrics import Metrics
@@ -54,7 +54,7 @@
         self.runs = 0
         self.answers = AnswerStore()
         self.claims = PlayedClaims.start(verdict, state)
-        self.keyed = KeyedRequests(
+        self.keyed = IdempotencyKeyHandler(
             Environment(
                 Settings(id="e1", failure_domain="muc-a"),
                 Metrics(),
