--- a/bamboovale/entry/admitted.py
+++ b/bamboovale/entry/admitted.py
@@ -12,7 +12,7 @@
 from bamboovale.environment import Environment
 
 
-class AdmittedRequests:
+class RequestLifecycle:
     """Takes a request in, claims its key if it has one, and frees both at its end."""
 
     def __init__(
--- a/bamboovale/entry/callers_side.py
+++ b/bamboovale/entry/callers_side.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from bamboovale.entry.admitted import AdmittedRequests
+from bamboovale.entry.admitted import RequestLifecycle
 from bamboovale.entry.caller_app import CallerApp
 from bamboovale.entry.crashes import CrashReports
 from bamboovale.entry.decision_facade import DecisionFacade
@@ -26,7 +26,7 @@
     permits: PermitClient
     connections: EndpointConnections
     hangups: DisconnectWatcher
-    admitted: AdmittedRequests
+    admitted: RequestLifecycle
     crashes: CrashReports
 
 
--- a/bamboovale/entry/model_requests.py
+++ b/bamboovale/entry/model_requests.py
@@ -8,7 +8,7 @@
 from bamboovale.catalogue.entries import AdapterEntry
 from bamboovale.decisions.admission import Limits
 from bamboovale.decisions.work import WorkItem
-from bamboovale.entry.admitted import AdmittedRequests
+from bamboovale.entry.admitted import RequestLifecycle
 from bamboovale.entry.attempts import (
     Attempts,
     CallerDisconnectedError,
@@ -73,7 +73,7 @@
         permits: PermitClient,
         runs: ModelRuns,
         hangups: DisconnectWatcher,
-        admitted: AdmittedRequests,
+        admitted: RequestLifecycle,
         crashes: CrashReports,
     ) -> None:
         self._environment = environment
--- a/bamboovale/entry/service_calls.py
+++ b/bamboovale/entry/service_calls.py
@@ -7,7 +7,7 @@
 
 from bamboovale.catalogue.entries import ServiceEntry
 from bamboovale.decisions.admission import Limits
-from bamboovale.entry.admitted import AdmittedRequests
+from bamboovale.entry.admitted import RequestLifecycle
 from bamboovale.entry.caller_answer import CallerAnswer
 from bamboovale.entry.caller_request import CallerRequest
 from bamboovale.entry.decision_facade import DecisionFacade
@@ -57,7 +57,7 @@
         desk: DecisionFacade,
         connections: EndpointConnections,
         hangups: DisconnectWatcher,
-        admitted: AdmittedRequests,
+        admitted: RequestLifecycle,
     ) -> None:
         self._environment = environment
         self._views = views
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -34,7 +34,7 @@
 )
 from bamboovale.engines.turn_routes import TurnRoutes
 from bamboovale.entry.administration import Administration
-from bamboovale.entry.admitted import AdmittedRequests
+from bamboovale.entry.admitted import RequestLifecycle
 from bamboovale.entry.callers_side import CallerParts, build_caller_app
 from bamboovale.entry.crashes import CrashReports
 from bamboovale.entry.decision_facade import DecisionFacade
@@ -231,7 +231,7 @@
                 permits=self._permits,
                 connections=self._connections,
                 hangups=self._hangups,
-                admitted=AdmittedRequests(environment, self.desk, keyed),
+                admitted=RequestLifecycle(environment, self.desk, keyed),
                 crashes=crashes,
             )
         )
