--- a/bamboovale/entry/callers_side.py
+++ b/bamboovale/entry/callers_side.py
@@ -2,7 +2,6 @@
 
 from dataclasses import dataclass
 
-from bamboovale.entry.admitted import RequestLifecycle
 from bamboovale.entry.caller_app import CallerApp
 from bamboovale.entry.crashes import CrashReports
 from bamboovale.entry.decision_facade import DecisionFacade
@@ -11,6 +10,7 @@
 from bamboovale.entry.model_requests import ModelRequests
 from bamboovale.entry.model_runs import ModelRuns
 from bamboovale.entry.permits import PermitClient
+from bamboovale.entry.request_lifecycle import RequestLifecycle
 from bamboovale.entry.service_calls import ServiceCalls
 from bamboovale.environment import Environment
 from bamboovale.views import Views
--- a/bamboovale/entry/model_requests.py
+++ b/bamboovale/entry/model_requests.py
@@ -8,7 +8,6 @@
 from bamboovale.catalogue.entries import AdapterEntry
 from bamboovale.decisions.admission import Limits
 from bamboovale.decisions.work import WorkItem
-from bamboovale.entry.admitted import RequestLifecycle
 from bamboovale.entry.attempts import (
     Attempts,
     CallerDisconnectedError,
@@ -37,6 +36,7 @@
     TryAnotherEngine,
     VersionOutdated,
 )
+from bamboovale.entry.request_lifecycle import RequestLifecycle
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
 from bamboovale.models import AdapterVersion
--- a/bamboovale/entry/service_calls.py
+++ b/bamboovale/entry/service_calls.py
@@ -7,7 +7,6 @@
 
 from bamboovale.catalogue.entries import ServiceEntry
 from bamboovale.decisions.admission import Limits
-from bamboovale.entry.admitted import RequestLifecycle
 from bamboovale.entry.caller_answer import CallerAnswer
 from bamboovale.entry.caller_request import CallerRequest
 from bamboovale.entry.decision_facade import DecisionFacade
@@ -19,6 +18,7 @@
     ExchangeFailedError,
 )
 from bamboovale.entry.permits import DisconnectSignal
+from bamboovale.entry.request_lifecycle import RequestLifecycle
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
 from bamboovale.views import Views
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -34,7 +34,6 @@
 )
 from bamboovale.engines.turn_routes import TurnRoutes
 from bamboovale.entry.administration import Administration
-from bamboovale.entry.admitted import RequestLifecycle
 from bamboovale.entry.callers_side import CallerParts, build_caller_app
 from bamboovale.entry.crashes import CrashReports
 from bamboovale.entry.decision_facade import DecisionFacade
@@ -47,6 +46,7 @@
 from bamboovale.entry.peer_exchange import PeerExchange, read_crash_notice
 from bamboovale.entry.peer_handler import PeerHandler, PeerTargets
 from bamboovale.entry.permits import PermitClient
+from bamboovale.entry.request_lifecycle import RequestLifecycle
 from bamboovale.entry.state_dump import StateDump, as_json
 from bamboovale.environment import Environment
 from bamboovale.http_client import HttpClient
