--- a/bamboovale/entry/callers_side.py
+++ b/bamboovale/entry/callers_side.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from bamboovale.entry.caller_app import CallerApp
-from bamboovale.entry.crashes import CrashReports
+from bamboovale.entry.crashes import CrashReporter
 from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.disconnects import DisconnectWatcher
 from bamboovale.entry.endpoint_connections import EndpointConnections
@@ -27,7 +27,7 @@
     connections: EndpointConnections
     hangups: DisconnectWatcher
     admitted: RequestLifecycle
-    crashes: CrashReports
+    crashes: CrashReporter
 
 
 def build_caller_app(parts: CallerParts) -> CallerApp:
--- a/bamboovale/entry/crashes.py
+++ b/bamboovale/entry/crashes.py
@@ -22,7 +22,7 @@
 logger = logging.getLogger(__name__)
 
 
-class CrashReports:
+class CrashReporter:
     """Finds out whether a broken run was a crash of its engine."""
 
     def __init__(
--- a/bamboovale/entry/model_requests.py
+++ b/bamboovale/entry/model_requests.py
@@ -18,7 +18,7 @@
 )
 from bamboovale.entry.caller_answer import CallerAnswer
 from bamboovale.entry.caller_request import CallerRequest
-from bamboovale.entry.crashes import CrashReports
+from bamboovale.entry.crashes import CrashReporter
 from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.disconnects import DisconnectWatcher
 from bamboovale.entry.engine_run import RunFailedError, RunFailure
@@ -74,7 +74,7 @@
         runs: ModelRuns,
         hangups: DisconnectWatcher,
         admitted: RequestLifecycle,
-        crashes: CrashReports,
+        crashes: CrashReporter,
     ) -> None:
         self._environment = environment
         self._views = views
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -35,7 +35,7 @@
 from bamboovale.engines.turn_routes import TurnRoutes
 from bamboovale.entry.administration import Administration
 from bamboovale.entry.callers_side import CallerParts, build_caller_app
-from bamboovale.entry.crashes import CrashReports
+from bamboovale.entry.crashes import CrashReporter
 from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.disconnects import DisconnectWatcher
 from bamboovale.entry.endpoint_connections import EndpointConnections
@@ -216,7 +216,7 @@
             self._exchange.find_answer,
             lambda: self._health.reachable,
         )
-        crashes = CrashReports(
+        crashes = CrashReporter(
             environment,
             self.views,
             self.desk,
