--- a/bamboovale/entry/callers_side.py
+++ b/bamboovale/entry/callers_side.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True)
-class CallerParts:
+class CallerAppDependencies:
     """What model requests and plain calls need of the entry VM."""
 
     environment: Environment
@@ -30,7 +30,7 @@
     crashes: CrashReporter
 
 
-def build_caller_app(parts: CallerParts) -> CallerApp:
+def build_caller_app(parts: CallerAppDependencies) -> CallerApp:
     """Return the application of the callers' port."""
     runs = ModelRuns(
         parts.environment,
