--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -34,7 +34,7 @@
 )
 from bamboovale.engines.turn_routes import TurnRoutes
 from bamboovale.entry.administration import Administration
-from bamboovale.entry.callers_side import CallerAppDependencies, build_caller_app
+from bamboovale.entry.caller_app_factory import CallerAppDependencies, build_caller_app
 from bamboovale.entry.crashes import CrashReporter
 from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.disconnects import DisconnectWatcher
