--- a/bamboovale/entry/model_requests.py
+++ b/bamboovale/entry/model_requests.py
@@ -27,7 +27,7 @@
     ModelCall,
     read_model_call,
 )
-from bamboovale.entry.model_runs import ModelRuns, RunOrder
+from bamboovale.entry.model_runs import ModelRuns, RunSpec
 from bamboovale.entry.permits import (
     CallerDisconnected,
     DisconnectSignal,
@@ -177,7 +177,7 @@
             return None
         try:
             return self._runs.run(
-                RunOrder(
+                RunSpec(
                     held=held,
                     attempt_id=attempt_id,
                     call=attempts.call,
--- a/bamboovale/entry/model_runs.py
+++ b/bamboovale/entry/model_runs.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class RunOrder:
+class RunSpec:
     """One run: what, under which permit, for whom."""
 
     held: HeldPermit
@@ -67,7 +67,7 @@
 
     def run(
         self,
-        order: RunOrder,
+        order: RunSpec,
         request: CallerRequest,
         hangup: DisconnectSignal,
     ) -> CallerAnswer:
@@ -88,7 +88,7 @@
         self._desk.on_answered(order.fingerprint)
         return CallerAnswer.whole(200, [JSON_TYPE, *headers], body)
 
-    def _send(self, run: EngineRun, order: RunOrder) -> BaseHTTPResponse:
+    def _send(self, run: EngineRun, order: RunSpec) -> BaseHTTPResponse:
         try:
             return run.send(order.call.path, self._body(order))
         except RunFailedError as failed:
@@ -96,24 +96,24 @@
                 self._permits.release(order.held, refused=True)
             raise
 
-    def _open(self, order: RunOrder) -> EngineRun:
+    def _open(self, order: RunSpec) -> EngineRun:
         target = self._target(order)
         return EngineRun(self._connections, target, fresh=not order.idempotent)
 
-    def _target(self, order: RunOrder) -> RunTarget:
+    def _target(self, order: RunSpec) -> RunTarget:
         permit = order.held.permit
         address = self._views.membership.address_of(permit.engine_id, "http")
         if address is None:
             raise RunFailedError(RunFailure.NOT_SENT, "the engine is no longer listed")
         return RunTarget(address, order.attempt_id, permit.lora_name)
 
-    def _body(self, order: RunOrder) -> bytes:
+    def _body(self, order: RunSpec) -> bytes:
         permit = order.held.permit
         return order.call.body_for(permit.lora_name, order.max_tokens, permit.priority)
 
     def _headers(
         self,
-        order: RunOrder,
+        order: RunSpec,
         request: CallerRequest,
     ) -> list[tuple[str, str]]:
         catalogue = self._views.catalogue
@@ -130,7 +130,7 @@
 
     def _stream(
         self,
-        order: RunOrder,
+        order: RunSpec,
         run: EngineRun,
         response: BaseHTTPResponse,
         headers: list[tuple[str, str]],
@@ -155,7 +155,7 @@
 
     def _pass_on(
         self,
-        order: RunOrder,
+        order: RunSpec,
         first: bytes | None,
         events: Iterator[bytes],
         ending: AnswerOutcome,
@@ -180,7 +180,7 @@
 
     def _resume(
         self,
-        order: RunOrder,
+        order: RunSpec,
         offset: int,
     ) -> Generator[bytes, None, bool]:
         """Read a broken stream on from where it broke; tell whether it ended whole.
@@ -202,7 +202,7 @@
         return True
 
 
-def _error_event(order: RunOrder) -> bytes:
+def _error_event(order: RunSpec) -> bytes:
     """Return the event that ends a stream which cannot be completed."""
     refusal = Refusal(
         ErrorCode.OUTCOME_UNKNOWN,
