--- a/bamboovale/entry/peer_exchange.py
+++ b/bamboovale/entry/peer_client.py
@@ -33,7 +33,7 @@
 VM sends more than three copies, however large the fleet."""
 
 
-class PeerExchange:
+class PeerClient:
     """Calls over the links; none blocks but :meth:`find_answer`."""
 
     def __init__(
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -43,7 +43,7 @@
 from bamboovale.entry.holders import HolderLinksToVM, Holders
 from bamboovale.entry.http_server import HttpListener
 from bamboovale.entry.idempotency_keys import IdempotencyKeyHandler
-from bamboovale.entry.peer_exchange import PeerExchange, read_crash_notice
+from bamboovale.entry.peer_client import PeerClient, read_crash_notice
 from bamboovale.entry.peer_handler import PeerHandler, PeerTargets
 from bamboovale.entry.permits import PermitClient
 from bamboovale.entry.request_lifecycle import RequestLifecycle
@@ -126,7 +126,7 @@
             self._engines,
             self._ticker,
         )
-        self._exchange = PeerExchange(
+        self._exchange = PeerClient(
             settings.id,
             self.views,
             self._links,
