--- a/bamboovale/entry/caller_app_factory.py
+++ b/bamboovale/entry/caller_app_factory.py
@@ -22,7 +22,7 @@
 
     environment: Environment
     views: Views
-    desk: DecisionFacade
+    decisions: DecisionFacade
     permits: PermitClient
     connections: EndpointConnections
     hangups: DisconnectWatcher
@@ -35,14 +35,14 @@
     runs = ModelRuns(
         parts.environment,
         parts.views,
-        parts.desk,
+        parts.decisions,
         parts.permits,
         parts.connections,
     )
     models = ModelRequests(
         parts.environment,
         parts.views,
-        parts.desk,
+        parts.decisions,
         parts.permits,
         runs,
         parts.hangups,
@@ -52,7 +52,7 @@
     services = ServiceCalls(
         parts.environment,
         parts.views,
-        parts.desk,
+        parts.decisions,
         parts.connections,
         parts.hangups,
         parts.admitted,
--- a/bamboovale/entry/crashes.py
+++ b/bamboovale/entry/crashes.py
@@ -29,13 +29,13 @@
         self,
         environment: Environment,
         views: Views,
-        desk: DecisionFacade,
+        decisions: DecisionFacade,
         engines: EngineOrders,
         publish: Callable[[CrashNotice], None],
     ) -> None:
         self._environment = environment
         self._views = views
-        self._desk = desk
+        self._decisions = decisions
         self._engines = engines
         self._publish = publish
 
@@ -73,7 +73,7 @@
 
     def _tell(self, permit: Permit, fingerprint: str, *, alone: bool) -> None:
         notice = CrashNotice(fingerprint, permit.engine_id, permit.boot_id, alone)
-        if self._desk.on_crash(notice):
+        if self._decisions.on_crash(notice):
             logger.warning(
                 "engine %s crashed under request %s (alone: %s)",
                 permit.engine_id,
--- a/bamboovale/entry/model_requests.py
+++ b/bamboovale/entry/model_requests.py
@@ -69,7 +69,7 @@
         self,
         environment: Environment,
         views: Views,
-        desk: DecisionFacade,
+        decisions: DecisionFacade,
         permits: PermitClient,
         runs: ModelRuns,
         hangups: DisconnectWatcher,
@@ -78,7 +78,7 @@
     ) -> None:
         self._environment = environment
         self._views = views
-        self._desk = desk
+        self._decisions = decisions
         self._permits = permits
         self._runs = runs
         self._hangups = hangups
@@ -111,7 +111,7 @@
         entry: AdapterEntry,
     ) -> CallerAnswer:
         fingerprint = request.fingerprint(entry.target.lora_name)
-        refusal = self._desk.crash_refusal(fingerprint)
+        refusal = self._decisions.crash_refusal(fingerprint)
         if refusal is not None:
             return CallerAnswer.refusal(refusal, request.request_id)
         wait_s = entry.limits.max_wait_s
@@ -208,7 +208,7 @@
 
     def _get_permit(self, attempts: Attempts, attempt_id: str) -> HeldPermit | None:
         item = self._work_item(attempts, attempt_id)
-        engine_id = self._desk.choose_engine(
+        engine_id = self._decisions.choose_engine(
             item,
             attempts.entry.base_model,
             attempts.excluded,
@@ -262,7 +262,7 @@
 
     def _work_item(self, attempts: Attempts, attempt_id: str) -> WorkItem:
         entry = attempts.entry
-        crashed = self._desk.crashed_endpoints(attempts.fingerprint)
+        crashed = self._decisions.crashed_endpoints(attempts.fingerprint)
         attempts.exclusive = bool(crashed)
         attempts.excluded.update(crashed)
         return WorkItem(
@@ -331,13 +331,17 @@
             attempts.fingerprint,
             alone=attempts.exclusive,
         )
-        refusal = self._desk.crash_refusal(attempts.fingerprint)
+        refusal = self._decisions.crash_refusal(attempts.fingerprint)
         if refusal is not None:
             raise FinalRefusalError(refusal)
         if not attempts.idempotent:
             raise FinalRefusalError(outcome_unknown(failed))
         suspect_failed = crashed and attempts.exclusive
-        if suspect_failed or attempts.runs >= MAX_RUNS or not self._desk.may_repeat():
+        if (
+            suspect_failed
+            or attempts.runs >= MAX_RUNS
+            or not self._decisions.may_repeat()
+        ):
             raise FinalRefusalError(endpoint_error(failed))
         self._environment.metrics.retries.inc()
         attempts.excluded.add(held.permit.engine_id)
--- a/bamboovale/entry/model_runs.py
+++ b/bamboovale/entry/model_runs.py
@@ -55,13 +55,13 @@
         self,
         environment: Environment,
         views: Views,
-        desk: DecisionFacade,
+        decisions: DecisionFacade,
         permits: PermitClient,
         connections: EndpointConnections,
     ) -> None:
         self._environment = environment
         self._views = views
-        self._desk = desk
+        self._decisions = decisions
         self._permits = permits
         self._connections = connections
 
@@ -85,7 +85,7 @@
             if order.call.stream:
                 return self._stream(order, run, response, headers, stack)
             body = run.read_whole(response)
-        self._desk.on_answered(order.fingerprint)
+        self._decisions.on_answered(order.fingerprint)
         return CallerAnswer.whole(200, [JSON_TYPE, *headers], body)
 
     def _send(self, run: EngineRun, order: RunSpec) -> BaseHTTPResponse:
@@ -175,7 +175,7 @@
                 yield _error_event(order)
                 return
         ending.state = AnswerState.ANSWERED
-        self._desk.on_answered(order.fingerprint)
+        self._decisions.on_answered(order.fingerprint)
         yield DONE_EVENT + EVENT_END
 
     def _resume(
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -53,7 +53,7 @@
     load_turns: pykka.ActorRef
     holders: Holders
     permits: PermitClient
-    desk: DecisionFacade
+    decisions: DecisionFacade
     answers: AnswerStore
     give_turn: Callable[[LoadTurnGiven], None]
 
@@ -143,6 +143,6 @@
         tell(self._targets.load_turns, TurnEnded(ended))
 
     def _on_crash(self, _: str, seen: CrashSeen) -> None:
-        self._targets.desk.on_crash(
+        self._targets.decisions.on_crash(
             CrashNotice(seen.fingerprint, seen.endpoint_id, seen.boot_id, seen.alone)
         )
--- a/bamboovale/entry/request_lifecycle.py
+++ b/bamboovale/entry/request_lifecycle.py
@@ -18,11 +18,11 @@
     def __init__(
         self,
         environment: Environment,
-        desk: DecisionFacade,
+        decisions: DecisionFacade,
         keyed: IdempotencyKeyHandler,
     ) -> None:
         self._incarnation = environment.incarnation[:6]
-        self._desk = desk
+        self._decisions = decisions
         self._keyed = keyed
         self._attempt_numbers = itertools.count(1)
 
@@ -41,7 +41,7 @@
     ) -> CallerAnswer:
         """Run an admitted request; its place is held until its answer has been sent."""
         attempt_id = self.new_attempt_id(request)
-        refusal = self._desk.admit(
+        refusal = self._decisions.admit(
             Arrival(
                 request_id=attempt_id,
                 customer=owner,
@@ -53,7 +53,7 @@
         if refusal is not None:
             return CallerAnswer.refusal(refusal, request.request_id)
         with contextlib.ExitStack() as stack:
-            stack.callback(self._desk.done, attempt_id)
+            stack.callback(self._decisions.done, attempt_id)
             if request.key is None:
                 answer = run()
             else:
--- a/bamboovale/entry/service_calls.py
+++ b/bamboovale/entry/service_calls.py
@@ -54,14 +54,14 @@
         self,
         environment: Environment,
         views: Views,
-        desk: DecisionFacade,
+        decisions: DecisionFacade,
         connections: EndpointConnections,
         hangups: DisconnectWatcher,
         admitted: RequestLifecycle,
     ) -> None:
         self._environment = environment
         self._views = views
-        self._desk = desk
+        self._decisions = decisions
         self._connections = connections
         self._hangups = hangups
         self._admitted = admitted
@@ -102,7 +102,7 @@
     def _try_once(self, call: "_Call") -> Result[CallerAnswer, Refusal | None]:
         """Call one endpoint; Err(None) means: try another one."""
         attempt_id = self._admitted.new_attempt_id(call.request)
-        endpoint_id = self._desk.choose_endpoint(
+        endpoint_id = self._decisions.choose_endpoint(
             call.entry.pool,
             attempt_id,
             call.excluded,
@@ -122,7 +122,7 @@
             call.ran = True
             return Err(self._after_break(call, str(error)))
         finally:
-            self._desk.call_ended(call.entry.pool, endpoint_id, attempt_id, ok)
+            self._decisions.call_ended(call.entry.pool, endpoint_id, attempt_id, ok)
 
     def _exchange(
         self,
@@ -220,7 +220,7 @@
                 f"the call was sent and its answer is lost ({reason})",
                 not_run=False,
             )
-        if call.tries < MAX_TRIES and self._desk.may_repeat():
+        if call.tries < MAX_TRIES and self._decisions.may_repeat():
             self._environment.metrics.retries.inc()
             return None
         return Refusal(
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -114,7 +114,7 @@
         self._connections = EndpointConnections(settings.address)
         self._hangups = DisconnectWatcher()
         self._answers = AnswerStore()
-        self.desk = DecisionFacade(environment, self.views, self._policy)
+        self.decisions = DecisionFacade(environment, self.views, self._policy)
         self._appender_by_stream = {
             stream: Appender(environment, self._log, stream)
             for stream in (CATALOGUE_STREAM, LEASE_STREAM, CLAIM_STREAM, NOTICE_STREAM)
@@ -162,8 +162,8 @@
                     self._catalogue,
                     PeerIsAhead(vm_id, next_offset),
                 ),
-                on_hint=self.desk.on_hint,
-                on_interval=self.desk.on_tick,
+                on_hint=self.decisions.on_hint,
+                on_interval=self.decisions.on_tick,
             ),
         )
         self._load_turns = LoadTurnKeeper.start(
@@ -219,7 +219,7 @@
         crashes = CrashReporter(
             environment,
             self.views,
-            self.desk,
+            self.decisions,
             self._engines,
             self._publish_crash,
         )
@@ -227,11 +227,11 @@
             CallerAppDependencies(
                 environment=environment,
                 views=self.views,
-                desk=self.desk,
+                decisions=self.decisions,
                 permits=self._permits,
                 connections=self._connections,
                 hangups=self._hangups,
-                admitted=RequestLifecycle(environment, self.desk, keyed),
+                admitted=RequestLifecycle(environment, self.decisions, keyed),
                 crashes=crashes,
             )
         )
@@ -266,7 +266,7 @@
         dump.add_actor("claims", self._claims, DumpClaims())
         dump.add_actor("load_turns", self._load_turns, DumpLoadTurns())
         dump.add("engines", self._holders.dump)
-        dump.add("decisions", self.desk.dump)
+        dump.add("decisions", self.decisions.dump)
         dump.add("permits_in_use", lambda: self._permits.held_count())
         dump.add("links", lambda: as_json(self._links.connected()))
         dump.add(
@@ -326,7 +326,7 @@
                 load_turns=self._load_turns,
                 holders=self._holders,
                 permits=self._permits,
-                desk=self.desk,
+                decisions=self.decisions,
                 answers=self._answers,
                 give_turn=self._turn_routes.give,
             ),
@@ -387,7 +387,7 @@
     # Joints between the tasks; called from their threads, so they only tell.
 
     def _on_membership(self) -> None:
-        self.desk.on_membership()
+        self.decisions.on_membership()
         self._holders.on_membership()
 
     def _on_held(self, engine_id: str, fencing: int, valid: Any) -> None:
@@ -418,4 +418,4 @@
         for record in batch.records:
             notice = read_crash_notice(record.value)
             if notice is not None:
-                self.desk.on_crash(notice)
+                self.decisions.on_crash(notice)
