--- a/bamboovale/entry/attempts.py
+++ b/bamboovale/entry/attempts.py
@@ -34,7 +34,7 @@
     call: ModelCall
     entry: AdapterEntry
     idempotent: bool
-    hangup: DisconnectSignal
+    disconnect: DisconnectSignal
     latest_start: float
     fingerprint: str
     excluded: set[str] = field(default_factory=set)
--- a/bamboovale/entry/caller_app_factory.py
+++ b/bamboovale/entry/caller_app_factory.py
@@ -25,7 +25,7 @@
     decisions: DecisionFacade
     permits: PermitClient
     connections: EndpointConnections
-    hangups: DisconnectWatcher
+    disconnects: DisconnectWatcher
     admitted: RequestLifecycle
     crashes: CrashReporter
 
@@ -45,7 +45,7 @@
         parts.decisions,
         parts.permits,
         runs,
-        parts.hangups,
+        parts.disconnects,
         parts.admitted,
         parts.crashes,
     )
@@ -54,7 +54,7 @@
         parts.views,
         parts.decisions,
         parts.connections,
-        parts.hangups,
+        parts.disconnects,
         parts.admitted,
     )
     return CallerApp(parts.environment, parts.views, models, services)
--- a/bamboovale/entry/disconnects.py
+++ b/bamboovale/entry/disconnects.py
@@ -25,7 +25,7 @@
         self._stopping = False
         self._thread = threading.Thread(
             target=self._run,
-            name="hangups",
+            name="disconnects",
             daemon=True,
         )
 
@@ -44,15 +44,15 @@
     def watch(
         self,
         caller: socket.socket | None,
-        on_hangup: Callable[[], None],
+        on_disconnect: Callable[[], None],
     ) -> Iterator[None]:
-        """Call ``on_hangup`` once, from the watcher's thread, if the caller goes."""
+        """Call ``on_disconnect`` once, from the watcher's thread, if the caller goes."""
         if caller is None or caller.fileno() < 0:
             yield
             return
         descriptor = caller.fileno()
         with self._lock:
-            self._callback_by_descriptor[descriptor] = on_hangup
+            self._callback_by_descriptor[descriptor] = on_disconnect
             self._epoll.register(descriptor, _GONE | select.EPOLLONESHOT)
         try:
             yield
--- a/bamboovale/entry/model_requests.py
+++ b/bamboovale/entry/model_requests.py
@@ -72,7 +72,7 @@
         decisions: DecisionFacade,
         permits: PermitClient,
         runs: ModelRuns,
-        hangups: DisconnectWatcher,
+        disconnects: DisconnectWatcher,
         admitted: RequestLifecycle,
         crashes: CrashReporter,
     ) -> None:
@@ -81,7 +81,7 @@
         self._decisions = decisions
         self._permits = permits
         self._runs = runs
-        self._hangups = hangups
+        self._disconnects = disconnects
         self._admitted = admitted
         self._crashes = crashes
 
@@ -122,7 +122,7 @@
             call=call,
             entry=entry,
             idempotent=request.idempotent is not False,
-            hangup=DisconnectSignal(),
+            disconnect=DisconnectSignal(),
             latest_start=request.arrived_at + wait_s,
             fingerprint=fingerprint,
         )
@@ -137,7 +137,7 @@
     def _attempt(self, attempts: Attempts) -> CallerAnswer:
         """Try engines until one answers or the request is given up on."""
         request = attempts.request
-        with self._hangups.watch(request.connection, attempts.hangup.signal):
+        with self._disconnects.watch(request.connection, attempts.disconnect.signal):
             try:
                 while True:
                     answer = self._try_once(attempts)
@@ -187,7 +187,7 @@
                     fingerprint=attempts.fingerprint,
                 ),
                 attempts.request,
-                attempts.hangup,
+                attempts.disconnect,
             )
         except RunFailedError as failed:
             self._settle_failure(attempts, held, failed)
@@ -219,7 +219,7 @@
         answer = self._permits.acquire(
             item,
             engine_id,
-            attempts.hangup,
+            attempts.disconnect,
             lambda: self._is_current(attempts),
         )
         if isinstance(answer, HeldPermit):
@@ -289,7 +289,7 @@
         now = self._environment.now()
         request = attempts.request
         give_up_at = min(attempts.latest_start, request.arrived_at + SEARCH_S)
-        if attempts.hangup.gone:
+        if attempts.disconnect.gone:
             raise CallerDisconnectedError
         # An engine whose lease is moving may have the adapter loaded: look again.
         looked_long_enough = not attempts.unanswered or now >= give_up_at
@@ -317,7 +317,7 @@
         failed: RunFailedError,
     ) -> None:
         """Decide whether the request may be tried again; raise if it may not."""
-        if attempts.hangup.gone:
+        if attempts.disconnect.gone:
             attempts.runs += not failed.not_run
             raise CallerDisconnectedError
         if failed.failure is RunFailure.REJECTED:
--- a/bamboovale/entry/model_runs.py
+++ b/bamboovale/entry/model_runs.py
@@ -69,14 +69,14 @@
         self,
         order: RunSpec,
         request: CallerRequest,
-        hangup: DisconnectSignal,
+        disconnect: DisconnectSignal,
     ) -> CallerAnswer:
         """Return the answer, or raise RunFailedError if there is none to pass on."""
         with contextlib.ExitStack() as stack:
             stack.callback(self._permits.release, order.held)
             run = self._open(order)
             stack.callback(run.give_up)
-            hangup.attach(run.exchange.abort)
+            disconnect.attach(run.exchange.abort)
             if not self._permits.may_still_send(order.held):
                 raise RunFailedError(RunFailure.NOT_SENT, "the permit came too late")
             self._environment.metrics.attempts.inc()
--- a/bamboovale/entry/permits.py
+++ b/bamboovale/entry/permits.py
@@ -113,7 +113,7 @@
         self,
         item: WorkItem,
         engine_id: str,
-        hangup: DisconnectSignal,
+        disconnect: DisconnectSignal,
         still_wanted: Callable[[], bool],
     ) -> Answer:
         """Wait for a place on the engine, while the version is ``still_wanted``."""
@@ -121,7 +121,7 @@
         if holder is None:
             return TryAnotherEngine("the engine has no lease holder", retry_after_s=1.0)
         wait = _Wait(self._environment, self._links, item, engine_id, holder)
-        return wait.run(hangup, still_wanted, self._keep)
+        return wait.run(disconnect, still_wanted, self._keep)
 
     def release(self, held: HeldPermit, *, refused: bool = False) -> None:
         """Tell the holder that the run is over or never happened.
@@ -183,12 +183,12 @@
 
     def run(
         self,
-        hangup: DisconnectSignal,
+        disconnect: DisconnectSignal,
         still_wanted: Callable[[], bool],
         keep: Callable[[HeldPermit], None],
     ) -> Answer:
         """Ask, repeat the ask while waiting, and settle how the wait ends."""
-        hangup.attach(lambda: self._mailbox.put(CallerDisconnected()))
+        disconnect.attach(lambda: self._mailbox.put(CallerDisconnected()))
         future = self._ask()
         future.add_done_callback(self._mailbox.put)
         while True:
--- a/bamboovale/entry/service_calls.py
+++ b/bamboovale/entry/service_calls.py
@@ -56,14 +56,14 @@
         views: Views,
         decisions: DecisionFacade,
         connections: EndpointConnections,
-        hangups: DisconnectWatcher,
+        disconnects: DisconnectWatcher,
         admitted: RequestLifecycle,
     ) -> None:
         self._environment = environment
         self._views = views
         self._decisions = decisions
         self._connections = connections
-        self._hangups = hangups
+        self._disconnects = disconnects
         self._admitted = admitted
 
     def answer(self, request: CallerRequest, raw_path: str) -> CallerAnswer:
@@ -142,8 +142,10 @@
         finished = False
         self._environment.metrics.attempts.inc()
         try:
-            call.hangup.attach(exchange.abort)
-            with self._hangups.watch(call.request.connection, call.hangup.signal):
+            call.disconnect.attach(exchange.abort)
+            with self._disconnects.watch(
+                call.request.connection, call.disconnect.signal
+            ):
                 body = self._send(call, exchange, attempt_id, address[0])
             finished = True
         finally:
@@ -214,7 +216,7 @@
     def _after_break(self, call: "_Call", reason: str) -> Refusal | None:
         """Repeat an idempotent call within the budget; never one that is not."""
         call.tries += 1
-        if not call.idempotent or call.hangup.gone:
+        if not call.idempotent or call.disconnect.gone:
             return Refusal(
                 ErrorCode.OUTCOME_UNKNOWN,
                 f"the call was sent and its answer is lost ({reason})",
@@ -245,7 +247,7 @@
         self.entry = entry
         self.path = path
         self.idempotent = idempotent
-        self.hangup = DisconnectSignal()
+        self.disconnect = DisconnectSignal()
         self.excluded: set[str] = set()
         self.tries = 0
         self.ran = False
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -112,7 +112,7 @@
         self._ticker = Ticker()
         self._engines = VllmEngineOrders(self._http)
         self._connections = EndpointConnections(settings.address)
-        self._hangups = DisconnectWatcher()
+        self._disconnects = DisconnectWatcher()
         self._answers = AnswerStore()
         self.decisions = DecisionFacade(environment, self.views, self._policy)
         self._appender_by_stream = {
@@ -230,7 +230,7 @@
                 decisions=self.decisions,
                 permits=self._permits,
                 connections=self._connections,
-                hangups=self._hangups,
+                disconnects=self._disconnects,
                 admitted=RequestLifecycle(environment, self.decisions, keyed),
                 crashes=crashes,
             )
@@ -334,7 +334,7 @@
         self._links.start(handler.on_request, handler.on_notice)
         self._callers.start()
         self._admin.start()
-        self._hangups.start()
+        self._disconnects.start()
         self._list_reader.start()
         for follower in self._followers:
             follower.start()
@@ -380,7 +380,7 @@
             appender.stop()
         self._links.stop()
         pykka.ActorRegistry.stop_all(block=True, timeout=2.0)
-        self._hangups.stop()
+        self._disconnects.stop()
         self._connections.close()
         self._http.close()
 
--- a/tests/test_entry_permits.py
+++ b/tests/test_entry_permits.py
@@ -93,7 +93,7 @@
         )
         self.links = FakeLinks()
         self.desk = PermitClient(environment, self.links)
-        self.hangup = DisconnectSignal()
+        self.disconnect = DisconnectSignal()
         self.wanted = True
         self.item = WorkItem(
             request_id="r.1",
@@ -107,7 +107,7 @@
         )
 
     def acquire(self) -> Any:
-        return self.desk.acquire(self.item, "g1", self.hangup, lambda: self.wanted)
+        return self.desk.acquire(self.item, "g1", self.disconnect, lambda: self.wanted)
 
     def acquire_later(self) -> "Future[Any]":
         done: Future[Any] = Future()
@@ -149,7 +149,7 @@
     def test_a_hangup(self) -> None:
         desk = Desk()
         done = desk.acquire_later()
-        desk.hangup.signal()
+        desk.disconnect.signal()
         assert isinstance(done.result(2.0), CallerDisconnected)
         assert desk.links.told_of(PermitCancel)
 
@@ -184,7 +184,7 @@
     def test_it_is_released(self) -> None:
         desk = Desk()
         done = desk.acquire_later()
-        desk.hangup.signal()
+        desk.disconnect.signal()
         done.result(2.0)
         desk.links.future.set_result(PermitReply("r.1", permit=permit()))
         released = desk.links.told_of(PermitRelease)
--- a/tests/test_model_requests.py
+++ b/tests/test_model_requests.py
@@ -41,7 +41,7 @@
     """What a model request meets; each end is played by the test."""
 
     def __init__(self) -> None:
-        self.hangup: Any = None
+        self.disconnect: Any = None
         self.permit_answers: list[Any] = []
         self.run_endings: list[Any] = []
         self.released = 0
@@ -67,8 +67,8 @@
 
     # The permits.
 
-    def acquire(self, item: Any, engine: str, hangup: Any, wanted: Any) -> Any:
-        self.hangup = hangup
+    def acquire(self, item: Any, engine: str, disconnect: Any, wanted: Any) -> Any:
+        self.disconnect = disconnect
         answer = self.permit_answers.pop(0)
         return answer(item) if callable(answer) else answer
 
@@ -77,7 +77,7 @@
 
     # The runs.
 
-    def run(self, order: Any, request: Any, hangup: Any) -> CallerAnswer:
+    def run(self, order: Any, request: Any, disconnect: Any) -> CallerAnswer:
         ending = self.run_endings.pop(0)
         if callable(ending):
             ending = ending()
@@ -163,7 +163,7 @@
         )
 
     def hang_up_and_break(self) -> RunFailedError:
-        self.played.hangup.gone = True
+        self.played.disconnect.gone = True
         return RunFailedError(RunFailure.BROKEN, "aborted")
 
 
