--- a/bamboovale/entry/caller_answer.py
+++ b/bamboovale/entry/caller_answer.py
@@ -59,7 +59,7 @@
     status: int
     headers: list[tuple[str, str]]
     chunks: Iterable[bytes]
-    ending: AnswerOutcome = field(default_factory=AnswerOutcome)
+    outcome: AnswerOutcome = field(default_factory=AnswerOutcome)
 
     @classmethod
     def whole(
@@ -88,8 +88,8 @@
         if refusal.retry_after_s is not None:
             headers.append(("Retry-After", _whole_seconds(refusal.retry_after_s)))
         state = AnswerState.NOT_RUN if refusal.not_run else AnswerState.UNKNOWN
-        ending = AnswerOutcome(state, refusal.code.value)
-        return cls(refusal.status, headers, [body], ending)
+        outcome = AnswerOutcome(state, refusal.code.value)
+        return cls(refusal.status, headers, [body], outcome)
 
 
 def _whole_seconds(seconds: float) -> str:
--- a/bamboovale/entry/caller_app.py
+++ b/bamboovale/entry/caller_app.py
@@ -64,7 +64,7 @@
         def count_end() -> None:
             self._count(-1)
             metrics = self._environment.metrics
-            metrics.requests.labels(outcome=answer.ending.code).inc()
+            metrics.requests.labels(outcome=answer.outcome.code).inc()
             took_s = self._environment.now() - began
             kind = _kind_of(environ.get("PATH_INFO", ""))
             metrics.request_seconds.labels(kind=kind).observe(took_s)
--- a/bamboovale/entry/idempotency_keys.py
+++ b/bamboovale/entry/idempotency_keys.py
@@ -119,7 +119,7 @@
             self._settle(claim, copy.kept())
 
         chunks = ChunksWithCleanup(copy, settle)
-        return CallerAnswer(answer.status, answer.headers, chunks, answer.ending)
+        return CallerAnswer(answer.status, answer.headers, chunks, answer.outcome)
 
     def _settle(self, claim: Claim, kept: KeptAnswer) -> None:
         self._answers.end(claim.attempt_id, kept)
@@ -218,7 +218,7 @@
         return chunk
 
     def close(self) -> None:
-        """End the chunks below, which settles the ending."""
+        """End the chunks below, which settles the outcome."""
         close_chunks = getattr(self._chunks, "close", None)
         if close_chunks is not None:
             close_chunks()
@@ -226,18 +226,18 @@
     def kept(self) -> KeptAnswer:
         """Return what is kept for repeats."""
         answer = self._answer
-        state = _final_state(answer.ending)
+        state = _final_state(answer.outcome)
         if state is AnswerState.ANSWERED and not self._whole:
             state = AnswerState.UNKNOWN
         headers = tuple(answer.headers)
         return KeptAnswer(state, answer.status, headers, bytes(self._kept))
 
 
-def _final_state(ending: AnswerOutcome) -> AnswerState:
+def _final_state(outcome: AnswerOutcome) -> AnswerState:
     """Return how the attempt ended; one broken off while running is unknown."""
-    if ending.state is AnswerState.RUNNING:
+    if outcome.state is AnswerState.RUNNING:
         return AnswerState.UNKNOWN
-    return ending.state
+    return outcome.state
 
 
 def _without(headers: Any, *names: str) -> list[tuple[str, str]]:
--- a/bamboovale/entry/model_runs.py
+++ b/bamboovale/entry/model_runs.py
@@ -143,14 +143,14 @@
         """
         events = run.read_events(response)
         first = next(events, None)
-        ending = AnswerOutcome()
-        chunks = self._pass_on(order, first, events, ending)
+        outcome = AnswerOutcome()
+        chunks = self._pass_on(order, first, events, outcome)
         held = stack.pop_all()
         return CallerAnswer(
             200,
             [*STREAM_HEADERS, *headers],
             ChunksWithCleanup(chunks, held.close),
-            ending,
+            outcome,
         )
 
     def _pass_on(
@@ -158,7 +158,7 @@
         order: RunSpec,
         first: bytes | None,
         events: Iterator[bytes],
-        ending: AnswerOutcome,
+        outcome: AnswerOutcome,
     ) -> Iterator[bytes]:
         passed = 0
         try:
@@ -170,11 +170,11 @@
                 passed += 1
         except RunFailedError:
             if not (yield from self._resume(order, passed)):
-                ending.state = AnswerState.UNKNOWN
-                ending.code = ErrorCode.OUTCOME_UNKNOWN.value
+                outcome.state = AnswerState.UNKNOWN
+                outcome.code = ErrorCode.OUTCOME_UNKNOWN.value
                 yield _error_event(order)
                 return
-        ending.state = AnswerState.ANSWERED
+        outcome.state = AnswerState.ANSWERED
         self._decisions.on_answered(order.fingerprint)
         yield DONE_EVENT + EVENT_END
 
--- a/tests/test_entry_idempotency_keys.py
+++ b/tests/test_entry_idempotency_keys.py
@@ -98,7 +98,7 @@
 
 
 def code_of(answer: CallerAnswer) -> str:
-    return answer.ending.code
+    return answer.outcome.code
 
 
 class TestWinner:
@@ -187,7 +187,7 @@
         keyed = Keyed(verdict, kept=kept)
         answer = keyed.answer()
         assert code_of(answer) == code.value
-        assert (answer.ending.state is AnswerState.NOT_RUN) is not_run
+        assert (answer.outcome.state is AnswerState.NOT_RUN) is not_run
         assert keyed.runs == 0
 
 
@@ -204,5 +204,5 @@
         answer = keyed.answer()
         assert time.monotonic() - begun < 0.5
         assert code_of(answer) == ErrorCode.LOG_UNAVAILABLE.value
-        assert answer.ending.state is AnswerState.NOT_RUN
+        assert answer.outcome.state is AnswerState.NOT_RUN
         assert keyed.runs == 0
--- a/tests/test_model_requests.py
+++ b/tests/test_model_requests.py
@@ -78,12 +78,12 @@
     # The runs.
 
     def run(self, order: Any, request: Any, disconnect: Any) -> CallerAnswer:
-        ending = self.run_endings.pop(0)
-        if callable(ending):
-            ending = ending()
-        if isinstance(ending, Exception):
-            raise ending
-        return ending
+        outcome = self.run_endings.pop(0)
+        if callable(outcome):
+            outcome = outcome()
+        if isinstance(outcome, Exception):
+            raise outcome
+        return outcome
 
     # Hang-ups, admission, crashes.
 
@@ -181,13 +181,13 @@
     def test_a_hangup_in_the_queue_was_not_run(self) -> None:
         world = World()
         world.played.permit_answers = [CallerDisconnected()]
-        assert world.answer().ending.state is AnswerState.NOT_RUN
+        assert world.answer().outcome.state is AnswerState.NOT_RUN
 
     def test_a_hangup_during_the_run_is_unknown(self) -> None:
         world = World()
         world.played.permit_answers = [grant]
         world.played.run_endings = [world.hang_up_and_break]
-        assert world.answer().ending.state is AnswerState.UNKNOWN
+        assert world.answer().outcome.state is AnswerState.UNKNOWN
 
 
 class TestBrokenRun:
@@ -204,7 +204,7 @@
         world.played.permit_answers = [grant]
         world.played.run_endings = [RunFailedError(RunFailure.BROKEN, "x")]
         answer = world.answer(idempotent=False)
-        assert answer.ending.code == ErrorCode.OUTCOME_UNKNOWN.value
+        assert answer.outcome.code == ErrorCode.OUTCOME_UNKNOWN.value
 
     def test_one_that_surely_did_not_run_goes_on_all_the_same(self) -> None:
         world = World()
@@ -223,8 +223,8 @@
 
         world.played.run_endings = [break_and_stop_serving]
         answer = world.answer()
-        assert answer.ending.code == ErrorCode.NOT_READY.value
-        assert answer.ending.state is AnswerState.UNKNOWN
+        assert answer.outcome.code == ErrorCode.NOT_READY.value
+        assert answer.outcome.state is AnswerState.UNKNOWN
 
 
 class TestNewVersion:
@@ -277,4 +277,4 @@
         world.played.engines = ("g1", "g2")
         refusal = Refusal(ErrorCode.LOG_UNAVAILABLE, "not loaded", not_run=True)
         world.played.permit_answers = [refusal, refusal]
-        assert world.answer().ending.code == ErrorCode.LOG_UNAVAILABLE.value
+        assert world.answer().outcome.code == ErrorCode.LOG_UNAVAILABLE.value
