--- a/bamboovale/entry/caller_app_factory.py
+++ b/bamboovale/entry/caller_app_factory.py
@@ -26,7 +26,7 @@
     permits: PermitClient
     connections: EndpointConnections
     disconnects: DisconnectWatcher
-    admitted: RequestLifecycle
+    lifecycle: RequestLifecycle
     crashes: CrashReporter
 
 
@@ -46,7 +46,7 @@
         parts.permits,
         runs,
         parts.disconnects,
-        parts.admitted,
+        parts.lifecycle,
         parts.crashes,
     )
     services = ServiceCalls(
@@ -55,6 +55,6 @@
         parts.decisions,
         parts.connections,
         parts.disconnects,
-        parts.admitted,
+        parts.lifecycle,
     )
     return CallerApp(parts.environment, parts.views, models, services)
--- a/bamboovale/entry/model_requests.py
+++ b/bamboovale/entry/model_requests.py
@@ -73,7 +73,7 @@
         permits: PermitClient,
         runs: ModelRuns,
         disconnects: DisconnectWatcher,
-        admitted: RequestLifecycle,
+        lifecycle: RequestLifecycle,
         crashes: CrashReporter,
     ) -> None:
         self._environment = environment
@@ -82,7 +82,7 @@
         self._permits = permits
         self._runs = runs
         self._disconnects = disconnects
-        self._admitted = admitted
+        self._lifecycle = lifecycle
         self._crashes = crashes
 
     def answer(self, request: CallerRequest) -> CallerAnswer:
@@ -126,7 +126,7 @@
             latest_start=request.arrived_at + wait_s,
             fingerprint=fingerprint,
         )
-        return self._admitted.answer(
+        return self._lifecycle.answer(
             request,
             f"adapter/{entry.name}",
             entry.owner,
@@ -161,7 +161,7 @@
     def _try_once(self, attempts: Attempts) -> CallerAnswer | None:
         """Get one permit and run under it; None means: try again."""
         self._check_serving()
-        attempt_id = self._admitted.new_attempt_id(attempts.request)
+        attempt_id = self._lifecycle.new_attempt_id(attempts.request)
         held = self._get_permit(attempts, attempt_id)
         if held is None:
             return None
--- a/bamboovale/entry/service_calls.py
+++ b/bamboovale/entry/service_calls.py
@@ -57,14 +57,14 @@
         decisions: DecisionFacade,
         connections: EndpointConnections,
         disconnects: DisconnectWatcher,
-        admitted: RequestLifecycle,
+        lifecycle: RequestLifecycle,
     ) -> None:
         self._environment = environment
         self._views = views
         self._decisions = decisions
         self._connections = connections
         self._disconnects = disconnects
-        self._admitted = admitted
+        self._lifecycle = lifecycle
 
     def answer(self, request: CallerRequest, raw_path: str) -> CallerAnswer:
         """Return the answer to a call; ``raw_path`` as the caller wrote it."""
@@ -74,7 +74,7 @@
         if entry is None:
             refusal = Refusal(ErrorCode.NOT_FOUND, f"no service {name!r}", not_run=True)
             return CallerAnswer.refusal(refusal, request.request_id)
-        return self._admitted.answer(
+        return self._lifecycle.answer(
             request,
             f"service/{entry.name}",
             entry.owner,
@@ -101,7 +101,7 @@
 
     def _try_once(self, call: "_Call") -> Result[CallerAnswer, Refusal | None]:
         """Call one endpoint; Err(None) means: try another one."""
-        attempt_id = self._admitted.new_attempt_id(call.request)
+        attempt_id = self._lifecycle.new_attempt_id(call.request)
         endpoint_id = self._decisions.choose_endpoint(
             call.entry.pool,
             attempt_id,
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -231,7 +231,7 @@
                 permits=self._permits,
                 connections=self._connections,
                 disconnects=self._disconnects,
-                admitted=RequestLifecycle(environment, self.decisions, keyed),
+                lifecycle=RequestLifecycle(environment, self.decisions, keyed),
                 crashes=crashes,
             )
         )
