--- a/bamboovale/entry/caller_app_factory.py
+++ b/bamboovale/entry/caller_app_factory.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from bamboovale.entry.caller_app import CallerApp
-from bamboovale.entry.crashes import CrashReporter
+from bamboovale.entry.crash_reporter import CrashReporter
 from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.disconnects import DisconnectWatcher
 from bamboovale.entry.endpoint_connections import EndpointConnections
@@ -27,7 +27,7 @@
     connections: EndpointConnections
     disconnects: DisconnectWatcher
     lifecycle: RequestLifecycle
-    crashes: CrashReporter
+    crash_reporter: CrashReporter
 
 
 def build_caller_app(parts: CallerAppDependencies) -> CallerApp:
@@ -47,7 +47,7 @@
         runs,
         parts.disconnects,
         parts.lifecycle,
-        parts.crashes,
+        parts.crash_reporter,
     )
     services = ServiceCalls(
         parts.environment,
--- a/bamboovale/entry/model_requests.py
+++ b/bamboovale/entry/model_requests.py
@@ -18,7 +18,7 @@
 )
 from bamboovale.entry.caller_answer import CallerAnswer
 from bamboovale.entry.caller_request import CallerRequest
-from bamboovale.entry.crashes import CrashReporter
+from bamboovale.entry.crash_reporter import CrashReporter
 from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.disconnects import DisconnectWatcher
 from bamboovale.entry.engine_run import RunFailedError, RunFailure
@@ -74,7 +74,7 @@
         runs: ModelRuns,
         disconnects: DisconnectWatcher,
         lifecycle: RequestLifecycle,
-        crashes: CrashReporter,
+        crash_reporter: CrashReporter,
     ) -> None:
         self._environment = environment
         self._views = views
@@ -83,7 +83,7 @@
         self._runs = runs
         self._disconnects = disconnects
         self._lifecycle = lifecycle
-        self._crashes = crashes
+        self._crash_reporter = crash_reporter
 
     def answer(self, request: CallerRequest) -> CallerAnswer:
         """Return the answer to a model request."""
@@ -326,7 +326,7 @@
             self._count_bounce(attempts, held, failed)
             return
         attempts.runs += 1
-        crashed = self._crashes.report(
+        crashed = self._crash_reporter.report(
             held.permit,
             attempts.fingerprint,
             alone=attempts.exclusive,
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -35,7 +35,7 @@
 from bamboovale.engines.turn_routes import TurnRoutes
 from bamboovale.entry.administration import Administration
 from bamboovale.entry.caller_app_factory import CallerAppDependencies, build_caller_app
-from bamboovale.entry.crashes import CrashReporter
+from bamboovale.entry.crash_reporter import CrashReporter
 from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.disconnects import DisconnectWatcher
 from bamboovale.entry.endpoint_connections import EndpointConnections
@@ -216,7 +216,7 @@
             self._exchange.find_answer,
             lambda: self._health.reachable,
         )
-        crashes = CrashReporter(
+        crash_reporter = CrashReporter(
             environment,
             self.views,
             self.decisions,
@@ -232,7 +232,7 @@
                 connections=self._connections,
                 disconnects=self._disconnects,
                 lifecycle=RequestLifecycle(environment, self.decisions, keyed),
-                crashes=crashes,
+                crash_reporter=crash_reporter,
             )
         )
         self._callers = HttpListener(
