--- a/bamboovale/engines/client.py
+++ b/bamboovale/engines/client.py
@@ -1,7 +1,7 @@
 """Orders to model engines and readings of their state.
 
 The interface follows the published vLLM server (``load_lora_adapter``,
-``unload_lora_adapter``); another engine fits behind the same :class:`EngineOrders`.
+``unload_lora_adapter``); another engine fits behind the same :class:`EngineClient`.
 """
 
 from dataclasses import dataclass
@@ -44,7 +44,7 @@
     port: int
 
 
-class EngineOrders(Protocol):
+class EngineClient(Protocol):
     """What a lease holder asks of an engine."""
 
     def read_state(self, engine: EngineAddress) -> Result[EngineView, str]:
--- a/bamboovale/engines/orders.py
+++ b/bamboovale/engines/orders.py
@@ -18,7 +18,7 @@
 
 from bamboovale.actors import tell
 from bamboovale.decisions.work import EngineView, Load, Unload
-from bamboovale.engines.client import EngineAddress, EngineOrders
+from bamboovale.engines.client import EngineAddress, EngineClient
 from bamboovale.environment import Environment
 
 logger = logging.getLogger(__name__)
@@ -44,7 +44,7 @@
     def __init__(
         self,
         environment: Environment,
-        client: EngineOrders,
+        client: EngineClient,
         engine: EngineAddress,
         fencing: int,
         allowed: Callable[[], bool],
--- a/bamboovale/entry/crash_reporter.py
+++ b/bamboovale/entry/crash_reporter.py
@@ -9,7 +9,7 @@
 
 from bamboovale.decisions.suspects import CrashNotice
 from bamboovale.decisions.work import Permit
-from bamboovale.engines.client import EngineAddress, EngineOrders
+from bamboovale.engines.client import EngineAddress, EngineClient
 from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.environment import Environment
 from bamboovale.views import Views
@@ -30,7 +30,7 @@
         environment: Environment,
         views: Views,
         decisions: DecisionFacade,
-        engines: EngineOrders,
+        engines: EngineClient,
         publish: Callable[[CrashNotice], None],
     ) -> None:
         self._environment = environment
--- a/bamboovale/entry/holders.py
+++ b/bamboovale/entry/holders.py
@@ -12,7 +12,7 @@
 from bamboovale.decisions.dispatch import DispatchConfig
 from bamboovale.decisions.policy import Policy
 from bamboovale.decisions.work import EngineHint
-from bamboovale.engines.client import EngineAddress, EngineOrders
+from bamboovale.engines.client import EngineAddress, EngineClient
 from bamboovale.engines.holder import (
     EngineHolder,
     LoadTurns,
@@ -58,7 +58,7 @@
         environment: Environment,
         views: Views,
         policy: Policy,
-        client: EngineOrders,
+        client: EngineClient,
         ticker: Ticker,
     ) -> None:
         self._environment = environment
