--- a/bamboovale/engines/client.py
+++ b/bamboovale/engines/client.py
@@ -71,7 +71,7 @@
         ...
 
 
-class VllmEngineOrders:
+class VllmEngineClient:
     """Orders over the HTTP interface of a vLLM-style server."""
 
     def __init__(self, http: HttpClient) -> None:
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -26,7 +26,7 @@
 )
 from bamboovale.decisions.policy import Policy
 from bamboovale.decisions.suspects import CrashNotice
-from bamboovale.engines.client import VllmEngineOrders
+from bamboovale.engines.client import VllmEngineClient
 from bamboovale.engines.load_turns import (
     DumpLoadTurns,
     LoadTurnKeeper,
@@ -110,7 +110,7 @@
             environment.metrics,
         )
         self._ticker = Ticker()
-        self._engines = VllmEngineOrders(self._http)
+        self._engines = VllmEngineClient(self._http)
         self._connections = EndpointConnections(settings.address)
         self._disconnects = DisconnectWatcher()
         self._answers = AnswerStore()
