--- a/bamboovale/engines/holder.py
+++ b/bamboovale/engines/holder.py
@@ -37,7 +37,7 @@
     VersionChanged,
     ViewRead,
 )
-from bamboovale.engines.orders import LeasedOrders, OrderEnded
+from bamboovale.engines.orders import LeasedOrders, OrderCompleted
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
 from bamboovale.models import AdapterVersion, WorkClass
@@ -125,7 +125,7 @@
         self.handle(EntryVMGone, self._on_entry_vm_gone)
         self.handle(PermitsReported, self._on_permits_reported)
         self.handle(ViewRead, self._on_view)
-        self.handle(OrderEnded, self._on_order_ended)
+        self.handle(OrderCompleted, self._on_order_ended)
         self.handle(TurnGiven, self._on_turn)
         self.handle(LeavingSeen, self._on_leaving)
         self.handle(VersionChanged, self._on_version_changed)
@@ -278,7 +278,7 @@
             self._boot_id = view.boot_id
         self._carry_out(self._dispatch.on_engine_view(view, self._now()))
 
-    def _on_order_ended(self, ended: OrderEnded) -> None:
+    def _on_order_ended(self, ended: OrderCompleted) -> None:
         now = self._now()
         name = ended.lora_name
         if ended.order is Load:
--- a/bamboovale/engines/orders.py
+++ b/bamboovale/engines/orders.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class OrderEnded:
+class OrderCompleted:
     """A load or an eviction ended; ``order`` is its type.
 
     ``given`` is False where the lease, or a run at the engine, did not allow the order
@@ -74,7 +74,7 @@
                 self._engine.id,
                 order.lora_name,
             )
-        tell(actor, OrderEnded(type(order), order.lora_name, given, succeeded))
+        tell(actor, OrderCompleted(type(order), order.lora_name, given, succeeded))
 
     def _may_give(self, order: Load | Unload) -> bool:
         """Look at the engine first and at the lease last.
--- a/tests/test_leased_orders.py
+++ b/tests/test_leased_orders.py
@@ -10,7 +10,7 @@
 
 from bamboovale.decisions.work import EngineView, Load, Unload
 from bamboovale.engines.client import EngineAddress, OrderFailure
-from bamboovale.engines.orders import LeasedOrders, OrderEnded
+from bamboovale.engines.orders import LeasedOrders, OrderCompleted
 from bamboovale.environment import Environment
 from bamboovale.metrics import Metrics
 from bamboovale.settings import Settings
@@ -120,7 +120,7 @@
         world.lapse()
         world.orders.carry_out(inbox, Load("a@1", "s"))
         assert world.engine.orders == []
-        assert inbox.ask("read") == [OrderEnded(Load, "a@1", False, False)]
+        assert inbox.ask("read") == [OrderCompleted(Load, "a@1", False, False)]
 
     def test_a_lapse_during_the_look_at_the_engine_evicts_nothing(
         self,
@@ -136,7 +136,7 @@
         world.engine.on_read = world.lapse
         world.orders.carry_out(inbox, Unload("a@1"))
         assert world.engine.orders == []
-        assert inbox.ask("read") == [OrderEnded(Unload, "a@1", False, False)]
+        assert inbox.ask("read") == [OrderCompleted(Unload, "a@1", False, False)]
 
     def test_a_lapse_during_the_order_is_counted(self, inbox: Any) -> None:
         world = World()
