--- a/bamboovale/engines/holder.py
+++ b/bamboovale/engines/holder.py
@@ -26,11 +26,11 @@
 )
 from bamboovale.engines.client import EngineAddress
 from bamboovale.engines.messages import (
-    AskReceived,
     CancelReceived,
     DumpState,
     EntryVMGone,
     LeavingSeen,
+    PermitRequestReceived,
     PermitsReported,
     ReleaseReceived,
     TurnGiven,
@@ -119,7 +119,7 @@
 
     def _register_handlers(self) -> None:
         self.handle(Tick, self._on_tick)
-        self.handle(AskReceived, self._on_ask)
+        self.handle(PermitRequestReceived, self._on_ask)
         self.handle(CancelReceived, self._on_cancel)
         self.handle(ReleaseReceived, self._on_release)
         self.handle(EntryVMGone, self._on_entry_vm_gone)
@@ -157,7 +157,7 @@
 
     # Asks of entry VMs.
 
-    def _on_ask(self, received: AskReceived) -> None:
+    def _on_ask(self, received: PermitRequestReceived) -> None:
         ask = received.ask
         queued = self._queued_by_id.get(ask.request_id)
         if queued is not None:
--- a/bamboovale/engines/messages.py
+++ b/bamboovale/engines/messages.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True)
-class AskReceived:
+class PermitRequestReceived:
     """An ask with the way back to the entry VM that sent it."""
 
     from_vm: str
--- a/bamboovale/entry/holder_links.py
+++ b/bamboovale/entry/holder_links.py
@@ -5,8 +5,8 @@
 
 from bamboovale.actors import tell
 from bamboovale.engines.messages import (
-    AskReceived,
     CancelReceived,
+    PermitRequestReceived,
     ReleaseReceived,
 )
 from bamboovale.entry.holders import Holders
@@ -89,7 +89,7 @@
             )
         )
         return
-    tell(holder, AskReceived(from_vm, ask, reply))
+    tell(holder, PermitRequestReceived(from_vm, ask, reply))
 
 
 def deliver_notice(holders: Holders, from_vm: str, message: Any) -> None:
@@ -98,7 +98,7 @@
     if holder is None:
         return
     if isinstance(message, PermitAsk):
-        tell(holder, AskReceived(from_vm, message, None))
+        tell(holder, PermitRequestReceived(from_vm, message, None))
     elif isinstance(message, PermitCancel):
         tell(holder, CancelReceived(message.request_id))
     elif isinstance(message, PermitRelease):
--- a/tests/test_engine_holder.py
+++ b/tests/test_engine_holder.py
@@ -12,7 +12,7 @@
 from bamboovale.decisions.work import EngineView
 from bamboovale.engines.client import EngineAddress
 from bamboovale.engines.holder import EngineHolder
-from bamboovale.engines.messages import AskReceived, ViewRead
+from bamboovale.engines.messages import PermitRequestReceived, ViewRead
 from bamboovale.environment import Environment
 from bamboovale.metrics import Metrics
 from bamboovale.peers.messages import PermitAsk, PermitReply
@@ -90,7 +90,7 @@
             fingerprint="f",
             exclusive=False,
         )
-        self.actor.ask(AskReceived("e1", ask, self.replies.append))
+        self.actor.ask(PermitRequestReceived("e1", ask, self.replies.append))
 
     def sent_elsewhere(self) -> list[str]:
         return [reply.request_id for reply in self.replies if reply.elsewhere]
