--- a/bamboovale/engines/holder.py
+++ b/bamboovale/engines/holder.py
@@ -28,8 +28,8 @@
 from bamboovale.engines.messages import (
     CancelReceived,
     DumpState,
+    EngineLeaving,
     EntryVMGone,
-    LeavingSeen,
     PermitRequestReceived,
     PermitsReported,
     ReleaseReceived,
@@ -127,7 +127,7 @@
         self.handle(ViewRead, self._on_view)
         self.handle(OrderCompleted, self._on_order_ended)
         self.handle(TurnGiven, self._on_turn)
-        self.handle(LeavingSeen, self._on_leaving)
+        self.handle(EngineLeaving, self._on_leaving)
         self.handle(VersionChanged, self._on_version_changed)
         self.handle(DumpState, self._on_dump)
 
@@ -306,7 +306,7 @@
             turn = self._turns.popleft()
             self._load_turns.end(turn, used=used, loaded=loaded)
 
-    def _on_leaving(self, _: LeavingSeen) -> None:
+    def _on_leaving(self, _: EngineLeaving) -> None:
         self._carry_out(self._dispatch.set_leaving(self._now()))
 
     def _on_version_changed(self, message: VersionChanged) -> None:
--- a/bamboovale/engines/messages.py
+++ b/bamboovale/engines/messages.py
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True)
-class LeavingSeen:
+class EngineLeaving:
     """The VM list shows the engine as leaving."""
 
 
--- a/bamboovale/entry/holders.py
+++ b/bamboovale/entry/holders.py
@@ -19,8 +19,8 @@
 )
 from bamboovale.engines.messages import (
     DumpState,
+    EngineLeaving,
     EntryVMGone,
-    LeavingSeen,
     VersionChanged,
 )
 from bamboovale.engines.orders import LeasedOrders
@@ -115,7 +115,7 @@
             self._holder_by_engine[engine_id] = holder
         self._ticker.add(holder)
         if self._views.membership.is_leaving(engine_id):
-            tell(holder, LeavingSeen())
+            tell(holder, EngineLeaving())
         links.on_started(engine_id)
 
     def stop(self, engine_id: str, links: HolderLinksToVM) -> None:
@@ -146,7 +146,7 @@
         """Tell holders of engines that leave; start those whose pool became known."""
         for engine_id, holder in list(self._holder_by_engine.items()):
             if self._views.membership.is_leaving(engine_id):
-                tell(holder, LeavingSeen())
+                tell(holder, EngineLeaving())
         for engine_id in list(self._lease_by_engine_without_pool):
             with self._lock:
                 held = self._lease_by_engine_without_pool.get(engine_id)
