--- a/bamboovale/engines/holder.py
+++ b/bamboovale/engines/holder.py
@@ -30,10 +30,10 @@
     DumpState,
     EngineLeaving,
     EntryVMGone,
+    LoadGrantReceived,
     PermitRequestReceived,
     PermitsReported,
     ReleaseReceived,
-    TurnGiven,
     VersionChanged,
     ViewRead,
 )
@@ -58,7 +58,7 @@
     """Turns at the weight store, wherever their scheduler is."""
 
     def ask(self, engine_id: str, lora_name: str, weight: float) -> None:
-        """Ask for a turn; :class:`TurnGiven` answers."""
+        """Ask for a turn; :class:`LoadGrantReceived` answers."""
         ...
 
     def end(self, turn: LoadTurnGiven, *, used: bool, loaded: bool) -> None:
@@ -126,7 +126,7 @@
         self.handle(PermitsReported, self._on_permits_reported)
         self.handle(ViewRead, self._on_view)
         self.handle(OrderCompleted, self._on_order_ended)
-        self.handle(TurnGiven, self._on_turn)
+        self.handle(LoadGrantReceived, self._on_turn)
         self.handle(EngineLeaving, self._on_leaving)
         self.handle(VersionChanged, self._on_version_changed)
         self.handle(DumpState, self._on_dump)
@@ -295,7 +295,7 @@
         if not ended.succeeded:
             self._read_view()
 
-    def _on_turn(self, message: TurnGiven) -> None:
+    def _on_turn(self, message: LoadGrantReceived) -> None:
         """Use a turn; it may go to another adapter than it was asked for."""
         self._turns.append(message.turn)
         name = message.turn.lora_name
--- a/bamboovale/engines/messages.py
+++ b/bamboovale/engines/messages.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True)
-class TurnGiven:
+class LoadGrantReceived:
     """The load scheduler gave a turn for an adapter version."""
 
     turn: LoadTurnGiven
--- a/bamboovale/engines/turn_routes.py
+++ b/bamboovale/engines/turn_routes.py
@@ -7,7 +7,7 @@
 from bamboovale.actors import tell
 from bamboovale.engines.load_turns import TurnAsked, TurnEnded
 from bamboovale.engines.messages import (
-    TurnGiven,
+    LoadGrantReceived,
 )
 from bamboovale.peers.messages import LoadTurnAsk, LoadTurnEnded, LoadTurnGiven
 
@@ -62,4 +62,4 @@
         if holder is None:
             self.end(turn, used=False, loaded=False)
         else:
-            tell(holder, TurnGiven(turn))
+            tell(holder, LoadGrantReceived(turn))
