--- a/bamboovale/engines/load_turns.py
+++ b/bamboovale/engines/load_turns.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True)
-class TurnAsked:
+class LoadRequestReceived:
     """A holder, here or on the VM named, wants a turn."""
 
     from_vm: str
@@ -71,7 +71,7 @@
         self._vm_by_engine: dict[str, str] = {}
         self._share = LoadScheduler.static_share(self._config, 1)
         self._share_of = 1
-        self.handle(TurnAsked, self._on_asked)
+        self.handle(LoadRequestReceived, self._on_asked)
         self.handle(TurnEnded, self._on_ended)
         self.handle(SchedulerLeaseChanged, self._on_lease)
         self.handle(Tick, self._on_tick)
@@ -85,7 +85,7 @@
             self._scheduler = LoadScheduler.from_config(self._config)
             self._scheduler_name = f"{self._own_id}:{message.fencing}"
 
-    def _on_asked(self, message: TurnAsked) -> None:
+    def _on_asked(self, message: LoadRequestReceived) -> None:
         ask = message.ask
         now = self._environment.now()
         if self._scheduler is not None and self._valid():
--- a/bamboovale/engines/turn_routes.py
+++ b/bamboovale/engines/turn_routes.py
@@ -5,7 +5,7 @@
 import pykka
 
 from bamboovale.actors import tell
-from bamboovale.engines.load_turns import TurnAsked, TurnEnded
+from bamboovale.engines.load_turns import LoadRequestReceived, TurnEnded
 from bamboovale.engines.messages import (
     LoadGrantReceived,
 )
@@ -45,7 +45,7 @@
         """Ask for a turn on behalf of a holder here."""
         ask = LoadTurnAsk(engine_id, lora_name, weight)
         if self._keeper is not None:
-            tell(self._keeper, TurnAsked(self._own_id, ask))
+            tell(self._keeper, LoadRequestReceived(self._own_id, ask))
 
     def end(self, turn: LoadTurnGiven, *, used: bool, loaded: bool) -> None:
         """Give a turn back to the scheduler that gave it."""
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -14,7 +14,7 @@
 )
 from bamboovale.claims.answers import AnswerStore
 from bamboovale.decisions.suspects import CrashNotice
-from bamboovale.engines.load_turns import TurnAsked, TurnEnded
+from bamboovale.engines.load_turns import LoadRequestReceived, TurnEnded
 from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.holder_links import deliver_ask, deliver_notice
 from bamboovale.entry.holders import Holders
@@ -134,7 +134,7 @@
             tell(self._targets.catalogue, passed)
 
     def _on_turn_ask(self, sender: str, ask: LoadTurnAsk) -> None:
-        tell(self._targets.load_turns, TurnAsked(sender, ask))
+        tell(self._targets.load_turns, LoadRequestReceived(sender, ask))
 
     def _on_turn_given(self, _: str, turn: LoadTurnGiven) -> None:
         self._targets.give_turn(turn)
