--- a/bamboovale/engines/load_turns.py
+++ b/bamboovale/engines/load_turns.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True)
-class TurnEnded:
+class LoadReleaseReceived:
     """A turn is over."""
 
     ended: LoadTurnEnded
@@ -72,7 +72,7 @@
         self._share = LoadScheduler.static_share(self._config, 1)
         self._share_of = 1
         self.handle(LoadRequestReceived, self._on_asked)
-        self.handle(TurnEnded, self._on_ended)
+        self.handle(LoadReleaseReceived, self._on_ended)
         self.handle(SchedulerLeaseChanged, self._on_lease)
         self.handle(Tick, self._on_tick)
         self.handle(DumpLoadTurns, self._on_dump)
@@ -108,7 +108,7 @@
         turns = self._share.on_ask(ask.engine_id, ask.lora_name, ask.weight, now)
         self._deliver_share(turns)
 
-    def _on_ended(self, message: TurnEnded) -> None:
+    def _on_ended(self, message: LoadReleaseReceived) -> None:
         ended = message.ended
         now = self._environment.now()
         if ended.scheduler == self._share_name:
--- a/bamboovale/engines/turn_routes.py
+++ b/bamboovale/engines/turn_routes.py
@@ -5,7 +5,7 @@
 import pykka
 
 from bamboovale.actors import tell
-from bamboovale.engines.load_turns import LoadRequestReceived, TurnEnded
+from bamboovale.engines.load_turns import LoadReleaseReceived, LoadRequestReceived
 from bamboovale.engines.messages import (
     LoadGrantReceived,
 )
@@ -54,7 +54,7 @@
         if vm_id != self._own_id:
             self._links.notify(vm_id, ended)
         elif self._keeper is not None:
-            tell(self._keeper, TurnEnded(ended))
+            tell(self._keeper, LoadReleaseReceived(ended))
 
     def give(self, turn: LoadTurnGiven) -> None:
         """Hand a turn to the holder here; back if the engine is not held here."""
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -14,7 +14,7 @@
 )
 from bamboovale.claims.answers import AnswerStore
 from bamboovale.decisions.suspects import CrashNotice
-from bamboovale.engines.load_turns import LoadRequestReceived, TurnEnded
+from bamboovale.engines.load_turns import LoadReleaseReceived, LoadRequestReceived
 from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.holder_links import deliver_ask, deliver_notice
 from bamboovale.entry.holders import Holders
@@ -140,7 +140,7 @@
         self._targets.give_turn(turn)
 
     def _on_turn_ended(self, _: str, ended: LoadTurnEnded) -> None:
-        tell(self._targets.load_turns, TurnEnded(ended))
+        tell(self._targets.load_turns, LoadReleaseReceived(ended))
 
     def _on_crash(self, _: str, seen: CrashSeen) -> None:
         self._targets.decisions.on_crash(
