--- a/bamboovale/engines/load_turns.py
+++ b/bamboovale/engines/load_turns.py
@@ -36,11 +36,11 @@
 
 
 @dataclass(frozen=True)
-class DumpLoadTurns:
+class DumpLoadGrants:
     """Ask for the state as JSON."""
 
 
-class LoadTurnKeeper(MessageActor):
+class LoadGrantKeeper(MessageActor):
     """Schedules turns for all entry VMs while it holds the weight store's lease.
 
     Where no scheduler can be reached it gives this VM's holders a static share.
@@ -75,7 +75,7 @@
         self.handle(LoadReleaseReceived, self._on_ended)
         self.handle(SchedulerLeaseChanged, self._on_lease)
         self.handle(Tick, self._on_tick)
-        self.handle(DumpLoadTurns, self._on_dump)
+        self.handle(DumpLoadGrants, self._on_dump)
 
     def _on_lease(self, message: SchedulerLeaseChanged) -> None:
         self._scheduler = None
@@ -151,7 +151,7 @@
                 )
             )
 
-    def _on_dump(self, _: DumpLoadTurns) -> dict[str, Any]:
+    def _on_dump(self, _: DumpLoadGrants) -> dict[str, Any]:
         scheduler = self._scheduler
         return {
             "is_scheduler": scheduler is not None,
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -28,8 +28,8 @@
 from bamboovale.decisions.suspects import CrashNotice
 from bamboovale.engines.client import VllmEngineClient
 from bamboovale.engines.load_turns import (
-    DumpLoadTurns,
-    LoadTurnKeeper,
+    DumpLoadGrants,
+    LoadGrantKeeper,
     SchedulerLeaseChanged,
 )
 from bamboovale.engines.turn_routes import TurnRoutes
@@ -166,7 +166,7 @@
                 on_interval=self.decisions.on_tick,
             ),
         )
-        self._load_turns = LoadTurnKeeper.start(
+        self._load_turns = LoadGrantKeeper.start(
             environment,
             self.views,
             self._links.notify,
@@ -264,7 +264,7 @@
         dump.add_actor("catalogue", self._catalogue, DumpCatalogue())
         dump.add_actor("leases", self._leases, DumpLeases())
         dump.add_actor("claims", self._claims, DumpClaims())
-        dump.add_actor("load_turns", self._load_turns, DumpLoadTurns())
+        dump.add_actor("load_turns", self._load_turns, DumpLoadGrants())
         dump.add("engines", self._holders.dump)
         dump.add("decisions", self.decisions.dump)
         dump.add("permits_in_use", lambda: self._permits.held_count())
