--- a/bamboovale/engines/turn_routes.py
+++ b/bamboovale/engines/turn_routes.py
@@ -5,7 +5,7 @@
 import pykka
 
 from bamboovale.actors import tell
-from bamboovale.engines.load_turns import LoadReleaseReceived, LoadRequestReceived
+from bamboovale.engines.load_grants import LoadReleaseReceived, LoadRequestReceived
 from bamboovale.engines.messages import (
     LoadGrantReceived,
 )
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -14,7 +14,7 @@
 )
 from bamboovale.claims.answers import AnswerStore
 from bamboovale.decisions.suspects import CrashNotice
-from bamboovale.engines.load_turns import LoadReleaseReceived, LoadRequestReceived
+from bamboovale.engines.load_grants import LoadReleaseReceived, LoadRequestReceived
 from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.holder_links import deliver_ask, deliver_notice
 from bamboovale.entry.holders import Holders
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -27,7 +27,7 @@
 from bamboovale.decisions.policy import Policy
 from bamboovale.decisions.suspects import CrashNotice
 from bamboovale.engines.client import VllmEngineClient
-from bamboovale.engines.load_turns import (
+from bamboovale.engines.load_grants import (
     DumpLoadGrants,
     LoadGrantKeeper,
     SchedulerLeaseChanged,
