--- a/bamboovale/engines/turn_routes.py
+++ b/bamboovale/engines/turn_routes.py
@@ -28,7 +28,7 @@
         ...
 
 
-class TurnRoutes:
+class LoadGrantRouter:
     """Implements the holders' :class:`~bamboovale.engines.holder.LoadTurns`."""
 
     def __init__(self, own_id: str, links: Notifier, holders: HolderFinder) -> None:
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -32,7 +32,7 @@
     LoadGrantKeeper,
     SchedulerLeaseChanged,
 )
-from bamboovale.engines.turn_routes import TurnRoutes
+from bamboovale.engines.turn_routes import LoadGrantRouter
 from bamboovale.entry.administration import Administration
 from bamboovale.entry.caller_app_factory import CallerAppDependencies, build_caller_app
 from bamboovale.entry.crash_reporter import CrashReporter
@@ -132,7 +132,7 @@
             self._links,
             self._answers,
         )
-        self._turn_routes = TurnRoutes(settings.id, self._links, self._holders)
+        self._turn_routes = LoadGrantRouter(settings.id, self._links, self._holders)
         self._holder_links = HolderLinksToVM(
             load_turns=self._turn_routes,
             on_hint=lambda hint: tell(self._membership, HintMade(hint)),
