--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -27,12 +27,12 @@
 from bamboovale.decisions.policy import Policy
 from bamboovale.decisions.suspects import CrashNotice
 from bamboovale.engines.client import VllmEngineClient
+from bamboovale.engines.load_grant_router import LoadGrantRouter
 from bamboovale.engines.load_grants import (
     DumpLoadGrants,
     LoadGrantKeeper,
     SchedulerLeaseChanged,
 )
-from bamboovale.engines.turn_routes import LoadGrantRouter
 from bamboovale.entry.administration import Administration
 from bamboovale.entry.caller_app_factory import CallerAppDependencies, build_caller_app
 from bamboovale.entry.crash_reporter import CrashReporter
