--- a/bamboovale/engines/holder.py
+++ b/bamboovale/engines/holder.py
@@ -54,7 +54,7 @@
 """One reads the state while two loads run, the store's full-speed number."""
 
 
-class LoadTurns(Protocol):
+class LoadGrants(Protocol):
     """Turns at the weight store, wherever their scheduler is."""
 
     def ask(self, engine_id: str, lora_name: str, weight: float) -> None:
@@ -90,7 +90,7 @@
         config: DispatchConfig,
         policy: Policy,
         orders: LeasedOrders,
-        load_turns: LoadTurns,
+        load_turns: LoadGrants,
         on_hint: Callable[[EngineHint], None],
         log_is_down: Callable[[], bool],
     ) -> None:
--- a/bamboovale/engines/load_grant_router.py
+++ b/bamboovale/engines/load_grant_router.py
@@ -29,7 +29,7 @@
 
 
 class LoadGrantRouter:
-    """Implements the holders' :class:`~bamboovale.engines.holder.LoadTurns`."""
+    """Implements the holders' :class:`~bamboovale.engines.holder.LoadGrants`."""
 
     def __init__(self, own_id: str, links: Notifier, holders: HolderFinder) -> None:
         self._own_id = own_id
--- a/bamboovale/entry/holders.py
+++ b/bamboovale/entry/holders.py
@@ -15,7 +15,7 @@
 from bamboovale.engines.client import EngineAddress, EngineClient
 from bamboovale.engines.holder import (
     EngineHolder,
-    LoadTurns,
+    LoadGrants,
 )
 from bamboovale.engines.messages import (
     DumpState,
@@ -35,7 +35,7 @@
 class HolderLinksToVM:
     """What a holder needs of the rest of the VM."""
 
-    load_turns: LoadTurns
+    load_turns: LoadGrants
     on_hint: Callable[[EngineHint], None]
     on_started: Callable[[str], None]
     on_stopped: Callable[[str], None]
