--- a/bamboovale/engines/holder.py
+++ b/bamboovale/engines/holder.py
@@ -67,7 +67,7 @@
 
 
 @dataclass
-class QueuedAsk:
+class WaitingRequest:
     """An ask that waits: the last time its entry VM showed that it still waits.
 
     ``stalled_since`` is when it came, if its adapter was not loaded then.
@@ -104,7 +104,7 @@
         self._turns: deque[LoadTurnGiven] = deque()
         self._on_hint = on_hint
         self._log_is_down = log_is_down
-        self._queued_by_id: dict[str, QueuedAsk] = {}
+        self._queued_by_id: dict[str, WaitingRequest] = {}
         self._source_by_lora_name: dict[str, str] = {}
         self._executor = ThreadPoolExecutor(
             ORDER_THREADS,
@@ -170,7 +170,7 @@
             received.reply(_elsewhere(ask.request_id, "the engine does not answer"))
             return
         now = self._now()
-        self._queued_by_id[ask.request_id] = QueuedAsk(
+        self._queued_by_id[ask.request_id] = WaitingRequest(
             entry_vm=received.from_vm,
             ask_number=ask.ask_number,
             heard_at=now,
