--- a/bamboovale/entry/holder_links.py
+++ b/bamboovale/entry/holder_links.py
@@ -9,7 +9,7 @@
     PermitRequestReceived,
     ReleaseReceived,
 )
-from bamboovale.entry.holders import Holders
+from bamboovale.entry.holders import EngineHolders
 from bamboovale.errors import ErrorCode
 from bamboovale.peers.links import PeerLinks
 from bamboovale.peers.messages import (
@@ -28,7 +28,7 @@
         self,
         own_id: str,
         views: Views,
-        holders: Holders,
+        holders: EngineHolders,
         links: PeerLinks,
     ) -> None:
         self._own_id = own_id
@@ -71,7 +71,7 @@
 
 
 def deliver_ask(
-    holders: Holders,
+    holders: EngineHolders,
     from_vm: str,
     ask: PermitAsk,
     reply: Any,
@@ -92,7 +92,7 @@
     tell(holder, PermitRequestReceived(from_vm, ask, reply))
 
 
-def deliver_notice(holders: Holders, from_vm: str, message: Any) -> None:
+def deliver_notice(holders: EngineHolders, from_vm: str, message: Any) -> None:
     """Hand a repeat, a cancellation or a release to the engine's holder here."""
     holder = holders.find(message.engine_id)
     if holder is None:
--- a/bamboovale/entry/holders.py
+++ b/bamboovale/entry/holders.py
@@ -50,7 +50,7 @@
     links: HolderLinksToVM
 
 
-class Holders:
+class EngineHolders:
     """Starts and stops holders as leases come and go."""
 
     def __init__(
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -40,7 +40,7 @@
 from bamboovale.entry.disconnects import DisconnectWatcher
 from bamboovale.entry.endpoint_connections import EndpointConnections
 from bamboovale.entry.holder_links import HolderRoutes
-from bamboovale.entry.holders import HolderLinksToVM, Holders
+from bamboovale.entry.holders import EngineHolders, HolderLinksToVM
 from bamboovale.entry.http_server import HttpListener
 from bamboovale.entry.idempotency_keys import IdempotencyKeyHandler
 from bamboovale.entry.peer_client import PeerClient, read_crash_notice
@@ -119,7 +119,7 @@
             stream: Appender(environment, self._log, stream)
             for stream in (CATALOGUE_STREAM, LEASE_STREAM, CLAIM_STREAM, NOTICE_STREAM)
         }
-        self._holders = Holders(
+        self._holders = EngineHolders(
             environment,
             self.views,
             self._policy,
--- a/tests/test_entry_holders.py
+++ b/tests/test_entry_holders.py
@@ -1,4 +1,4 @@
-"""Holders of engines: when they start, and with which settings of their pool."""
+"""EngineHolders of engines: when they start, and with which settings of their pool."""
 
 from collections.abc import Iterator
 from types import SimpleNamespace
@@ -10,7 +10,7 @@
 from bamboovale.actors import Ticker
 from bamboovale.catalogue.entries import PoolEntry
 from bamboovale.decisions.policy import Policy
-from bamboovale.entry.holders import HolderLinksToVM, Holders
+from bamboovale.entry.holders import EngineHolders, HolderLinksToVM
 from bamboovale.environment import Environment
 from bamboovale.membership.view import Membership
 from bamboovale.models import VM, VMKind
@@ -29,7 +29,7 @@
 
 
 class Deployment:
-    """Holders of one VM, with a catalogue that the test edits."""
+    """EngineHolders of one VM, with a catalogue that the test edits."""
 
     def __init__(self) -> None:
         self.views = Views(membership=Membership([ENGINE]))
@@ -40,7 +40,7 @@
             on_started=self.started.append,
             on_stopped=lambda engine_id: None,
         )
-        self.holders = Holders(
+        self.holders = EngineHolders(
             Environment.from_settings(Settings(id="e1")),
             self.views,
             Policy.chosen(),
