--- a/bamboovale/entry/holder_links.py
+++ b/bamboovale/entry/holder_links.py
@@ -9,7 +9,7 @@
     PermitRequestReceived,
     ReleaseReceived,
 )
-from bamboovale.entry.holders import EngineHolders
+from bamboovale.entry.engine_holders import EngineHolders
 from bamboovale.errors import ErrorCode
 from bamboovale.peers.links import PeerLinks
 from bamboovale.peers.messages import (
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -16,8 +16,8 @@
 from bamboovale.decisions.suspects import CrashNotice
 from bamboovale.engines.load_grants import LoadReleaseReceived, LoadRequestReceived
 from bamboovale.entry.decision_facade import DecisionFacade
+from bamboovale.entry.engine_holders import EngineHolders
 from bamboovale.entry.holder_links import deliver_ask, deliver_notice
-from bamboovale.entry.holders import EngineHolders
 from bamboovale.entry.permits import PermitClient
 from bamboovale.membership.keeper import StatusReceived
 from bamboovale.peers.messages import (
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -39,8 +39,8 @@
 from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.disconnects import DisconnectWatcher
 from bamboovale.entry.endpoint_connections import EndpointConnections
+from bamboovale.entry.engine_holders import EngineHolders, HolderLinksToVM
 from bamboovale.entry.holder_links import HolderRoutes
-from bamboovale.entry.holders import EngineHolders, HolderLinksToVM
 from bamboovale.entry.http_server import HttpListener
 from bamboovale.entry.idempotency_keys import IdempotencyKeyHandler
 from bamboovale.entry.peer_client import PeerClient, read_crash_notice
--- a/tests/test_entry_holders.py
+++ b/tests/test_entry_engine_holders.py
@@ -10,7 +10,7 @@
 from bamboovale.actors import Ticker
 from bamboovale.catalogue.entries import PoolEntry
 from bamboovale.decisions.policy import Policy
-from bamboovale.entry.holders import EngineHolders, HolderLinksToVM
+from bamboovale.entry.engine_holders import EngineHolders, HolderLinksToVM
 from bamboovale.environment import Environment
 from bamboovale.membership.view import Membership
 from bamboovale.models import VM, VMKind
