--- a/bamboovale/entry/engine_holders.py
+++ b/bamboovale/entry/engine_holders.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class HolderLinksToVM:
+class HolderCallbacks:
     """What a holder needs of the rest of the VM."""
 
     load_turns: LoadGrants
@@ -47,7 +47,7 @@
 
     fencing: int
     valid: Callable[[], bool]
-    links: HolderLinksToVM
+    links: HolderCallbacks
 
 
 class EngineHolders:
@@ -79,7 +79,7 @@
         engine_id: str,
         fencing: int,
         valid: Callable[[], bool],
-        links: HolderLinksToVM,
+        links: HolderCallbacks,
     ) -> None:
         """Begin to hold an engine."""
         vm = self._views.membership.vm_by_id.get(engine_id)
@@ -118,7 +118,7 @@
             tell(holder, EngineLeaving())
         links.on_started(engine_id)
 
-    def stop(self, engine_id: str, links: HolderLinksToVM) -> None:
+    def stop(self, engine_id: str, links: HolderCallbacks) -> None:
         """Stop holding an engine; what waits there is sent elsewhere."""
         with self._lock:
             self._lease_by_engine_without_pool.pop(engine_id, None)
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -39,7 +39,7 @@
 from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.disconnects import DisconnectWatcher
 from bamboovale.entry.endpoint_connections import EndpointConnections
-from bamboovale.entry.engine_holders import EngineHolders, HolderLinksToVM
+from bamboovale.entry.engine_holders import EngineHolders, HolderCallbacks
 from bamboovale.entry.holder_links import HolderRoutes
 from bamboovale.entry.http_server import HttpListener
 from bamboovale.entry.idempotency_keys import IdempotencyKeyHandler
@@ -133,7 +133,7 @@
             self._answers,
         )
         self._turn_routes = LoadGrantRouter(settings.id, self._links, self._holders)
-        self._holder_links = HolderLinksToVM(
+        self._holder_links = HolderCallbacks(
             load_turns=self._turn_routes,
             on_hint=lambda hint: tell(self._membership, HintMade(hint)),
             on_started=self._ask_permits_held,
--- a/tests/test_entry_engine_holders.py
+++ b/tests/test_entry_engine_holders.py
@@ -10,7 +10,7 @@
 from bamboovale.actors import Ticker
 from bamboovale.catalogue.entries import PoolEntry
 from bamboovale.decisions.policy import Policy
-from bamboovale.entry.engine_holders import EngineHolders, HolderLinksToVM
+from bamboovale.entry.engine_holders import EngineHolders, HolderCallbacks
 from bamboovale.environment import Environment
 from bamboovale.membership.view import Membership
 from bamboovale.models import VM, VMKind
@@ -34,7 +34,7 @@
     def __init__(self) -> None:
         self.views = Views(membership=Membership([ENGINE]))
         self.started: list[str] = []
-        self.links = HolderLinksToVM(
+        self.links = HolderCallbacks(
             load_turns=SimpleNamespace(),
             on_hint=lambda hint: None,
             on_started=self.started.append,
