--- a/bamboovale/entry/holder_links.py
+++ b/bamboovale/entry/holder_links.py
@@ -21,8 +21,8 @@
 from bamboovale.views import Views
 
 
-class HolderRoutes:
-    """Implements :class:`~bamboovale.entry.permits.HolderLinks`."""
+class HolderRouter:
+    """Implements :class:`~bamboovale.entry.permits.HolderTransport`."""
 
     def __init__(
         self,
--- a/bamboovale/entry/permits.py
+++ b/bamboovale/entry/permits.py
@@ -29,7 +29,7 @@
 """The holder refuses a wait that cannot be met; past this its answer is overdue."""
 
 
-class HolderLinks(Protocol):
+class HolderTransport(Protocol):
     """The way to the lease holder of an engine, on this VM or another."""
 
     def holder_of(self, engine_id: str) -> str | None:
@@ -103,7 +103,7 @@
 class PermitClient:
     """Asks for permits and keeps the list of those in use."""
 
-    def __init__(self, environment: Environment, links: HolderLinks) -> None:
+    def __init__(self, environment: Environment, links: HolderTransport) -> None:
         self._environment = environment
         self._links = links
         self._held_by_id: dict[str, HeldPermit] = {}
@@ -167,7 +167,7 @@
     def __init__(
         self,
         environment: Environment,
-        links: HolderLinks,
+        links: HolderTransport,
         item: WorkItem,
         engine_id: str,
         holder: str,
