--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -17,7 +17,7 @@
 from bamboovale.engines.load_grants import LoadReleaseReceived, LoadRequestReceived
 from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.engine_holders import EngineHolders
-from bamboovale.entry.holder_links import deliver_ask, deliver_notice
+from bamboovale.entry.holder_router import deliver_ask, deliver_notice
 from bamboovale.entry.permits import PermitClient
 from bamboovale.membership.keeper import StatusReceived
 from bamboovale.peers.messages import (
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -40,7 +40,7 @@
 from bamboovale.entry.disconnects import DisconnectWatcher
 from bamboovale.entry.endpoint_connections import EndpointConnections
 from bamboovale.entry.engine_holders import EngineHolders, HolderCallbacks
-from bamboovale.entry.holder_links import HolderRouter
+from bamboovale.entry.holder_router import HolderRouter
 from bamboovale.entry.http_server import HttpListener
 from bamboovale.entry.idempotency_keys import IdempotencyKeyHandler
 from bamboovale.entry.peer_client import PeerClient, read_crash_notice
--- a/bench/guards.py
+++ b/bench/guards.py
@@ -195,7 +195,7 @@
         "test_an_entry_vm_starts_during_an_outage_of_the_log",
         (
             Change(
-                "bamboovale/entry/holder_links.py",
+                "bamboovale/entry/holder_router.py",
                 "        return None if received is None else received.from_vm",
                 "        return None",
             ),
