--- a/bamboovale/admin/app.py
+++ b/bamboovale/admin/app.py
@@ -18,7 +18,7 @@
 from bamboovale.admin.port import AdministrationPort
 from bamboovale.admin.submission import (
     Submission,
-    WaitingCalls,
+    WaitingCallLimiter,
     reply_too_many_waiting,
 )
 from bamboovale.catalogue.edits import Action, Change
@@ -51,7 +51,7 @@
     ) -> None:
         self._port = port
         self._token = token
-        self._waiting = WaitingCalls()
+        self._waiting = WaitingCallLimiter()
         self._submission = Submission(port, self._waiting, wall_clock)
         self._handler_by_route: dict[tuple[str, str], Callable[..., Reply]] = {
             ("GET", "entries"): self._get_entries,
--- a/bamboovale/admin/submission.py
+++ b/bamboovale/admin/submission.py
@@ -36,7 +36,7 @@
 CLIENT_EDIT_ID = re.compile(r"[A-Za-z0-9._:-]{8,120}")
 
 
-class WaitingCalls:
+class WaitingCallLimiter:
     """Bounds how many calls wait at the same time."""
 
     def __init__(self, bound: int = MAX_WAITING_CALLS) -> None:
@@ -59,7 +59,7 @@
     def __init__(
         self,
         port: AdministrationPort,
-        waiting: WaitingCalls,
+        waiting: WaitingCallLimiter,
         wall_clock: Callable[[], float],
     ) -> None:
         self._port = port
--- a/tests/test_admin_app.py
+++ b/tests/test_admin_app.py
@@ -10,7 +10,7 @@
 from bamboovale.admin.edits import split_edit
 from bamboovale.admin.http import Request
 from bamboovale.admin.port import InForceReport
-from bamboovale.admin.submission import MAX_WAITING_CALLS, WaitingCalls
+from bamboovale.admin.submission import MAX_WAITING_CALLS, WaitingCallLimiter
 from bamboovale.catalogue.edits import Action, Change, Edit
 from bamboovale.catalogue.entries import Kind, PoolEntry
 from tests.admin_port import ListPort
@@ -243,7 +243,7 @@
     def test_the_next_call_is_refused_at_once(self) -> None:
         # In an outage of the log every edit waits for its timeout. Operators who
         # repeat would hold all threads, and state and health would not answer.
-        waiting = WaitingCalls()
+        waiting = WaitingCallLimiter()
         turns = [waiting.turn() for _ in range(MAX_WAITING_CALLS)]
         assert all(turn.__enter__() for turn in turns)
         with waiting.turn() as has_turn:
