--- a/bamboovale/decisions/loads.py
+++ b/bamboovale/decisions/loads.py
@@ -14,7 +14,7 @@
 AGE_WEIGHT_PER_S = 0.5
 """An ask gains half a waiting request a second: light asks are not starved."""
 ASK_FORGOTTEN_S = 6.0
-"""EngineHolders repeat an ask every 2 s; three missed mean it is not wanted any more."""
+"""Holders repeat an ask every 2 s; three missed mean it is not wanted any more."""
 TURN_ENDS_S = 10.0
 """Many times a load at full speed; a lost answer costs one of two turns that long."""
 PROBE_FIRST_S = 0.5
