--- a/bamboovale/entry/disconnects.py
+++ b/bamboovale/entry/disconnects.py
@@ -46,7 +46,7 @@
         caller: socket.socket | None,
         on_disconnect: Callable[[], None],
     ) -> Iterator[None]:
-        """Call ``on_disconnect`` once, from the watcher's thread, if the caller goes."""
+        """Call ``on_disconnect`` once, from the watcher's thread, if it goes away."""
         if caller is None or caller.fileno() < 0:
             yield
             return
--- a/bamboovale/entry/model_requests.py
+++ b/bamboovale/entry/model_requests.py
@@ -137,7 +137,7 @@
     def _attempt(self, attempts: Attempts) -> CallerAnswer:
         """Try engines until one answers or the request is given up on."""
         request = attempts.request
-        with self._disconnects.watch(request.connection, attempts.disconnect.signal):
+        with self._disconnects.watch(request.connection, attempts.disconnect.trigger):
             try:
                 while True:
                     answer = self._try_once(attempts)
@@ -289,7 +289,7 @@
         now = self._environment.now()
         request = attempts.request
         give_up_at = min(attempts.latest_start, request.arrived_at + SEARCH_S)
-        if attempts.disconnect.gone:
+        if attempts.disconnect.disconnected:
             raise CallerDisconnectedError
         # An engine whose lease is moving may have the adapter loaded: look again.
         looked_long_enough = not attempts.unanswered or now >= give_up_at
@@ -317,7 +317,7 @@
         failed: RunFailedError,
     ) -> None:
         """Decide whether the request may be tried again; raise if it may not."""
-        if attempts.disconnect.gone:
+        if attempts.disconnect.disconnected:
             attempts.runs += not failed.not_run
             raise CallerDisconnectedError
         if failed.failure is RunFailure.REJECTED:
--- a/bamboovale/entry/model_runs.py
+++ b/bamboovale/entry/model_runs.py
@@ -76,7 +76,7 @@
             stack.callback(self._permits.release, order.held)
             run = self._open(order)
             stack.callback(run.give_up)
-            disconnect.attach(run.exchange.abort)
+            disconnect.on_disconnect(run.exchange.abort)
             if not self._permits.may_still_send(order.held):
                 raise RunFailedError(RunFailure.NOT_SENT, "the permit came too late")
             self._environment.metrics.attempts.inc()
--- a/bamboovale/entry/permits.py
+++ b/bamboovale/entry/permits.py
@@ -83,20 +83,20 @@
     """What a caller's hang-up interrupts: the wait or the run of its request."""
 
     def __init__(self) -> None:
-        self.gone = False
+        self.disconnected = False
         self._interrupt: Callable[[], None] | None = None
 
-    def signal(self) -> None:
+    def trigger(self) -> None:
         """Tell that the caller hung up."""
-        self.gone = True
+        self.disconnected = True
         interrupt = self._interrupt
         if interrupt is not None:
             interrupt()
 
-    def attach(self, interrupt: Callable[[], None]) -> None:
+    def on_disconnect(self, interrupt: Callable[[], None]) -> None:
         """Call this at the hang-up, at once if it has happened."""
         self._interrupt = interrupt
-        if self.gone:
+        if self.disconnected:
             interrupt()
 
 
@@ -188,7 +188,7 @@
         keep: Callable[[HeldPermit], None],
     ) -> Answer:
         """Ask, repeat the ask while waiting, and settle how the wait ends."""
-        disconnect.attach(lambda: self._mailbox.put(CallerDisconnected()))
+        disconnect.on_disconnect(lambda: self._mailbox.put(CallerDisconnected()))
         future = self._ask()
         future.add_done_callback(self._mailbox.put)
         while True:
--- a/bamboovale/entry/service_calls.py
+++ b/bamboovale/entry/service_calls.py
@@ -142,9 +142,9 @@
         finished = False
         self._environment.metrics.attempts.inc()
         try:
-            call.disconnect.attach(exchange.abort)
+            call.disconnect.on_disconnect(exchange.abort)
             with self._disconnects.watch(
-                call.request.connection, call.disconnect.signal
+                call.request.connection, call.disconnect.trigger
             ):
                 body = self._send(call, exchange, attempt_id, address[0])
             finished = True
@@ -216,7 +216,7 @@
     def _after_break(self, call: "_Call", reason: str) -> Refusal | None:
         """Repeat an idempotent call within the budget; never one that is not."""
         call.tries += 1
-        if not call.idempotent or call.disconnect.gone:
+        if not call.idempotent or call.disconnect.disconnected:
             return Refusal(
                 ErrorCode.OUTCOME_UNKNOWN,
                 f"the call was sent and its answer is lost ({reason})",
--- a/tests/test_entry_permits.py
+++ b/tests/test_entry_permits.py
@@ -149,7 +149,7 @@
     def test_a_hangup(self) -> None:
         desk = Desk()
         done = desk.acquire_later()
-        desk.disconnect.signal()
+        desk.disconnect.trigger()
         assert isinstance(done.result(2.0), CallerDisconnected)
         assert desk.links.told_of(PermitCancel)
 
@@ -184,7 +184,7 @@
     def test_it_is_released(self) -> None:
         desk = Desk()
         done = desk.acquire_later()
-        desk.disconnect.signal()
+        desk.disconnect.trigger()
         done.result(2.0)
         desk.links.future.set_result(PermitReply("r.1", permit=permit()))
         released = desk.links.told_of(PermitRelease)
--- a/tests/test_model_requests.py
+++ b/tests/test_model_requests.py
@@ -163,7 +163,7 @@
         )
 
     def hang_up_and_break(self) -> RunFailedError:
-        self.played.disconnect.gone = True
+        self.played.disconnect.disconnected = True
         return RunFailedError(RunFailure.BROKEN, "aborted")
 
 
