--- a/bamboovale/engines/holder.py
+++ b/bamboovale/engines/holder.py
@@ -55,14 +55,14 @@
 
 
 class LoadGrants(Protocol):
-    """Turns at the weight store, wherever their scheduler is."""
+    """Grants at the weight store, wherever their scheduler is."""
 
     def ask(self, engine_id: str, lora_name: str, weight: float) -> None:
-        """Ask for a turn; :class:`LoadGrantReceived` answers."""
+        """Ask for a grant; :class:`LoadGrantReceived` answers."""
         ...
 
-    def end(self, turn: LoadTurnGiven, *, used: bool, loaded: bool) -> None:
-        """Give a turn back."""
+    def end(self, grant: LoadTurnGiven, *, used: bool, loaded: bool) -> None:
+        """Give a grant back."""
         ...
 
 
@@ -90,7 +90,7 @@
         config: DispatchConfig,
         policy: Policy,
         orders: LeasedOrders,
-        load_turns: LoadGrants,
+        load_grants: LoadGrants,
         on_hint: Callable[[EngineHint], None],
         log_is_down: Callable[[], bool],
     ) -> None:
@@ -100,8 +100,8 @@
         self._config = config
         self._dispatch = EngineDispatch.from_config(config, policy)
         self._orders = orders
-        self._load_turns = load_turns
-        self._turns: deque[LoadTurnGiven] = deque()
+        self._load_grants = load_grants
+        self._grants: deque[LoadTurnGiven] = deque()
         self._on_hint = on_hint
         self._log_is_down = log_is_down
         self._queued_by_id: dict[str, WaitingRequest] = {}
@@ -126,7 +126,7 @@
         self.handle(PermitsReported, self._on_permits_reported)
         self.handle(ViewRead, self._on_view)
         self.handle(OrderCompleted, self._on_order_ended)
-        self.handle(LoadGrantReceived, self._on_turn)
+        self.handle(LoadGrantReceived, self._on_load_grant)
         self.handle(EngineLeaving, self._on_leaving)
         self.handle(VersionChanged, self._on_version_changed)
         self.handle(DumpState, self._on_dump)
@@ -282,7 +282,7 @@
         now = self._now()
         name = ended.lora_name
         if ended.order is Load:
-            self._end_turn(used=ended.given, loaded=ended.succeeded)
+            self._release_grant(used=ended.given, loaded=ended.succeeded)
             if ended.succeeded:
                 self._carry_out(self._dispatch.on_loaded(name, now))
             else:
@@ -290,21 +290,21 @@
         elif ended.succeeded:
             self._carry_out(self._dispatch.on_unloaded(name, now))
         else:
-            self._end_turn(used=False, loaded=False)
+            self._release_grant(used=False, loaded=False)
             self._carry_out(self._dispatch.on_unload_failed(name, now))
         if not ended.succeeded:
             self._read_view()
 
-    def _on_turn(self, message: LoadGrantReceived) -> None:
-        """Use a turn; it may go to another adapter than it was asked for."""
-        self._turns.append(message.turn)
-        name = message.turn.lora_name
+    def _on_load_grant(self, message: LoadGrantReceived) -> None:
+        """Use a grant; it may go to another adapter than it was asked for."""
+        self._grants.append(message.grant)
+        name = message.grant.lora_name
         self._carry_out(self._dispatch.on_load_slot(name, self._now()))
 
-    def _end_turn(self, *, used: bool, loaded: bool) -> None:
-        if self._turns:
-            turn = self._turns.popleft()
-            self._load_turns.end(turn, used=used, loaded=loaded)
+    def _release_grant(self, *, used: bool, loaded: bool) -> None:
+        if self._grants:
+            grant = self._grants.popleft()
+            self._load_grants.end(grant, used=used, loaded=loaded)
 
     def _on_leaving(self, _: EngineLeaving) -> None:
         self._carry_out(self._dispatch.set_leaving(self._now()))
@@ -331,9 +331,9 @@
             elif isinstance(action, Refuse):
                 self._refuse(action.request_id, action.refusal)
             elif isinstance(action, AskLoadSlot):
-                self._load_turns.ask(self._engine.id, action.lora_name, action.weight)
+                self._load_grants.ask(self._engine.id, action.lora_name, action.weight)
             elif isinstance(action, ReturnLoadSlot):
-                self._end_turn(used=False, loaded=False)
+                self._release_grant(used=False, loaded=False)
             else:
                 self._executor.submit(self._orders.carry_out, self.actor_ref, action)
 
--- a/bamboovale/engines/load_grant_router.py
+++ b/bamboovale/engines/load_grant_router.py
@@ -1,4 +1,4 @@
-"""The way of a turn at the weight store between its scheduler and a holder here."""
+"""The way of a grant at the weight store between its scheduler and a holder here."""
 
 from typing import Any, Protocol
 
@@ -42,24 +42,24 @@
         self._keeper = keeper
 
     def ask(self, engine_id: str, lora_name: str, weight: float) -> None:
-        """Ask for a turn on behalf of a holder here."""
+        """Ask for a grant on behalf of a holder here."""
         ask = LoadTurnAsk(engine_id, lora_name, weight)
         if self._keeper is not None:
             tell(self._keeper, LoadRequestReceived(self._own_id, ask))
 
-    def end(self, turn: LoadTurnGiven, *, used: bool, loaded: bool) -> None:
-        """Give a turn back to the scheduler that gave it."""
-        ended = LoadTurnEnded(turn.scheduler, turn.number, used, loaded)
-        vm_id = turn.scheduler.rpartition(":")[0]
+    def end(self, grant: LoadTurnGiven, *, used: bool, loaded: bool) -> None:
+        """Give a grant back to the scheduler that gave it."""
+        ended = LoadTurnEnded(grant.scheduler, grant.number, used, loaded)
+        vm_id = grant.scheduler.rpartition(":")[0]
         if vm_id != self._own_id:
             self._links.notify(vm_id, ended)
         elif self._keeper is not None:
             tell(self._keeper, LoadReleaseReceived(ended))
 
-    def give(self, turn: LoadTurnGiven) -> None:
-        """Hand a turn to the holder here; back if the engine is not held here."""
-        holder = self._holders.find(turn.engine_id)
+    def give(self, grant: LoadTurnGiven) -> None:
+        """Hand a grant to the holder here; back if the engine is not held here."""
+        holder = self._holders.find(grant.engine_id)
         if holder is None:
-            self.end(turn, used=False, loaded=False)
+            self.end(grant, used=False, loaded=False)
         else:
-            tell(holder, LoadGrantReceived(turn))
+            tell(holder, LoadGrantReceived(grant))
--- a/bamboovale/engines/load_grants.py
+++ b/bamboovale/engines/load_grants.py
@@ -1,4 +1,4 @@
-"""Turns at the weight store: finds their scheduler, or is it."""
+"""Grants at the weight store: finds their scheduler, or is it."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class LoadRequestReceived:
-    """A holder, here or on the VM named, wants a turn."""
+    """A holder, here or on the VM named, wants a grant."""
 
     from_vm: str
     ask: LoadTurnAsk
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class LoadReleaseReceived:
-    """A turn is over."""
+    """A grant is over."""
 
     ended: LoadTurnEnded
 
@@ -41,7 +41,7 @@
 
 
 class LoadGrantKeeper(MessageActor):
-    """Schedules turns for all entry VMs while it holds the weight store's lease.
+    """Schedules grants for all entry VMs while it holds the weight store's lease.
 
     Where no scheduler can be reached it gives this VM's holders a static share.
     """
@@ -90,9 +90,9 @@
         now = self._environment.now()
         if self._scheduler is not None and self._valid():
             key = (ask.engine_id, ask.lora_name, ask.weight)
-            turns = self._scheduler.on_ask(*key, now)
+            grants = self._scheduler.on_ask(*key, now)
             self._vm_by_engine[ask.engine_id] = message.from_vm
-            self._deliver(turns)
+            self._deliver(grants)
         elif message.from_vm == self._own_id:
             self._ask_elsewhere(ask, now)
 
@@ -105,8 +105,8 @@
         if len(usable) != self._share_of:
             self._share_of = len(usable)
             self._share = LoadScheduler.static_share(self._config, self._share_of)
-        turns = self._share.on_ask(ask.engine_id, ask.lora_name, ask.weight, now)
-        self._deliver_share(turns)
+        grants = self._share.on_ask(ask.engine_id, ask.lora_name, ask.weight, now)
+        self._deliver_share(grants)
 
     def _on_ended(self, message: LoadReleaseReceived) -> None:
         ended = message.ended
@@ -126,28 +126,28 @@
     def _share_name(self) -> str:
         return f"{self._own_id}:share"
 
-    def _deliver(self, turns: list[LoadTurn]) -> None:
-        for turn in turns:
+    def _deliver(self, grants: list[LoadTurn]) -> None:
+        for grant in grants:
             given = LoadTurnGiven(
-                turn.engine_id,
-                turn.lora_name,
+                grant.engine_id,
+                grant.lora_name,
                 self._scheduler_name,
-                turn.number,
+                grant.number,
             )
-            vm_id = self._vm_by_engine.get(turn.engine_id, self._own_id)
+            vm_id = self._vm_by_engine.get(grant.engine_id, self._own_id)
             if vm_id == self._own_id:
                 self._give(given)
             else:
                 self._send(vm_id, given)
 
-    def _deliver_share(self, turns: list[LoadTurn]) -> None:
-        for turn in turns:
+    def _deliver_share(self, grants: list[LoadTurn]) -> None:
+        for grant in grants:
             self._give(
                 LoadTurnGiven(
-                    turn.engine_id,
-                    turn.lora_name,
+                    grant.engine_id,
+                    grant.lora_name,
                     self._share_name,
-                    turn.number,
+                    grant.number,
                 )
             )
 
--- a/bamboovale/engines/messages.py
+++ b/bamboovale/engines/messages.py
@@ -56,7 +56,7 @@
 class LoadGrantReceived:
     """The load scheduler gave a turn for an adapter version."""
 
-    turn: LoadTurnGiven
+    grant: LoadTurnGiven
 
 
 @dataclass(frozen=True)
--- a/bamboovale/entry/engine_holders.py
+++ b/bamboovale/entry/engine_holders.py
@@ -35,7 +35,7 @@
 class HolderCallbacks:
     """What a holder needs of the rest of the VM."""
 
-    load_turns: LoadGrants
+    load_grants: LoadGrants
     on_hint: Callable[[EngineHint], None]
     on_started: Callable[[str], None]
     on_stopped: Callable[[str], None]
@@ -108,7 +108,7 @@
                     fencing,
                     valid,
                 ),
-                load_turns=links.load_turns,
+                load_grants=links.load_grants,
                 on_hint=links.on_hint,
                 log_is_down=lambda: self._views.log_down_for_all,
             )
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -50,12 +50,12 @@
 
     catalogue: pykka.ActorRef
     membership: pykka.ActorRef
-    load_turns: pykka.ActorRef
+    load_grants: pykka.ActorRef
     holders: EngineHolders
     permits: PermitClient
     decisions: DecisionFacade
     answers: AnswerStore
-    give_turn: Callable[[LoadTurnGiven], None]
+    deliver_load_grant: Callable[[LoadTurnGiven], None]
 
 
 class PeerHandler:
@@ -77,9 +77,9 @@
             PermitRelease: self._on_holder_notice,
             StatusNotice: self._on_status,
             RecordsNotice: self._on_records,
-            LoadTurnAsk: self._on_turn_ask,
-            LoadTurnGiven: self._on_turn_given,
-            LoadTurnEnded: self._on_turn_ended,
+            LoadTurnAsk: self._on_load_request,
+            LoadTurnGiven: self._on_load_grant,
+            LoadTurnEnded: self._on_load_release,
             CrashSeen: self._on_crash,
         }
 
@@ -133,14 +133,14 @@
             passed = CatalogueRecordsPassed(notice.first_offset, notice.values)
             tell(self._targets.catalogue, passed)
 
-    def _on_turn_ask(self, sender: str, ask: LoadTurnAsk) -> None:
-        tell(self._targets.load_turns, LoadRequestReceived(sender, ask))
+    def _on_load_request(self, sender: str, ask: LoadTurnAsk) -> None:
+        tell(self._targets.load_grants, LoadRequestReceived(sender, ask))
 
-    def _on_turn_given(self, _: str, turn: LoadTurnGiven) -> None:
-        self._targets.give_turn(turn)
+    def _on_load_grant(self, _: str, grant: LoadTurnGiven) -> None:
+        self._targets.deliver_load_grant(grant)
 
-    def _on_turn_ended(self, _: str, ended: LoadTurnEnded) -> None:
-        tell(self._targets.load_turns, LoadReleaseReceived(ended))
+    def _on_load_release(self, _: str, ended: LoadTurnEnded) -> None:
+        tell(self._targets.load_grants, LoadReleaseReceived(ended))
 
     def _on_crash(self, _: str, seen: CrashSeen) -> None:
         self._targets.decisions.on_crash(
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -132,9 +132,11 @@
             self._links,
             self._answers,
         )
-        self._turn_routes = LoadGrantRouter(settings.id, self._links, self._holders)
+        self._load_grant_router = LoadGrantRouter(
+            settings.id, self._links, self._holders
+        )
         self._holder_links = HolderCallbacks(
-            load_turns=self._turn_routes,
+            load_grants=self._load_grant_router,
             on_hint=lambda hint: tell(self._membership, HintMade(hint)),
             on_started=self._ask_permits_held,
             on_stopped=lambda engine_id: tell(
@@ -166,13 +168,13 @@
                 on_interval=self.decisions.on_tick,
             ),
         )
-        self._load_turns = LoadGrantKeeper.start(
+        self._load_grants = LoadGrantKeeper.start(
             environment,
             self.views,
             self._links.notify,
-            self._turn_routes.give,
+            self._load_grant_router.give,
         )
-        self._turn_routes.attach(self._load_turns)
+        self._load_grant_router.attach(self._load_grants)
         self._catalogue = CatalogueKeeper.start(
             environment,
             self.views,
@@ -264,7 +266,7 @@
         dump.add_actor("catalogue", self._catalogue, DumpCatalogue())
         dump.add_actor("leases", self._leases, DumpLeases())
         dump.add_actor("claims", self._claims, DumpClaims())
-        dump.add_actor("load_turns", self._load_turns, DumpLoadGrants())
+        dump.add_actor("load_turns", self._load_grants, DumpLoadGrants())
         dump.add("engines", self._holders.dump)
         dump.add("decisions", self.decisions.dump)
         dump.add("permits_in_use", lambda: self._permits.held_count())
@@ -323,12 +325,12 @@
             PeerTargets(
                 catalogue=self._catalogue,
                 membership=self._membership,
-                load_turns=self._load_turns,
+                load_grants=self._load_grants,
                 holders=self._holders,
                 permits=self._permits,
                 decisions=self.decisions,
                 answers=self._answers,
-                give_turn=self._turn_routes.give,
+                deliver_load_grant=self._load_grant_router.give,
             ),
         )
         self._links.start(handler.on_request, handler.on_notice)
@@ -341,7 +343,7 @@
         self._ticker.add(self._leases, TICK_S)
         for actor in (
             self._membership,
-            self._load_turns,
+            self._load_grants,
             self._catalogue,
             self._claims,
         ):
@@ -392,14 +394,14 @@
 
     def _on_held(self, engine_id: str, fencing: int, valid: Any) -> None:
         if engine_id == WEIGHT_STORE:
-            tell(self._load_turns, SchedulerLeaseChanged(fencing, valid))
+            tell(self._load_grants, SchedulerLeaseChanged(fencing, valid))
             tell(self._catalogue, SnapshotDuty(on_duty=True))
             return
         self._holders.start(engine_id, fencing, valid, self._holder_links)
 
     def _on_lost(self, engine_id: str) -> None:
         if engine_id == WEIGHT_STORE:
-            tell(self._load_turns, SchedulerLeaseChanged(None, lambda: False))
+            tell(self._load_grants, SchedulerLeaseChanged(None, lambda: False))
             tell(self._catalogue, SnapshotDuty(on_duty=False))
             return
         self._holders.stop(engine_id, self._holder_links)
--- a/tests/test_engine_holder.py
+++ b/tests/test_engine_holder.py
@@ -60,7 +60,7 @@
             config=DispatchConfig("g1", "base", fencing=1),
             policy=Policy.chosen(),
             orders=orders,
-            load_turns=PlayedTurns(),
+            load_grants=PlayedTurns(),
             on_hint=lambda hint: None,
             log_is_down=lambda: False,
         )
--- a/tests/test_entry_engine_holders.py
+++ b/tests/test_entry_engine_holders.py
@@ -35,7 +35,7 @@
         self.views = Views(membership=Membership([ENGINE]))
         self.started: list[str] = []
         self.links = HolderCallbacks(
-            load_turns=SimpleNamespace(),
+            load_grants=SimpleNamespace(),
             on_hint=lambda hint: None,
             on_started=self.started.append,
             on_stopped=lambda engine_id: None,
