--- a/bamboovale/engines/holder.py
+++ b/bamboovale/engines/holder.py
@@ -57,11 +57,11 @@
 class LoadGrants(Protocol):
     """Grants at the weight store, wherever their scheduler is."""
 
-    def ask(self, engine_id: str, lora_name: str, weight: float) -> None:
+    def request(self, engine_id: str, lora_name: str, weight: float) -> None:
         """Ask for a grant; :class:`LoadGrantReceived` answers."""
         ...
 
-    def end(self, grant: LoadTurnGiven, *, used: bool, loaded: bool) -> None:
+    def release(self, grant: LoadTurnGiven, *, used: bool, loaded: bool) -> None:
         """Give a grant back."""
         ...
 
@@ -304,7 +304,7 @@
     def _release_grant(self, *, used: bool, loaded: bool) -> None:
         if self._grants:
             grant = self._grants.popleft()
-            self._load_grants.end(grant, used=used, loaded=loaded)
+            self._load_grants.release(grant, used=used, loaded=loaded)
 
     def _on_leaving(self, _: EngineLeaving) -> None:
         self._carry_out(self._dispatch.set_leaving(self._now()))
@@ -331,7 +331,9 @@
             elif isinstance(action, Refuse):
                 self._refuse(action.request_id, action.refusal)
             elif isinstance(action, AskLoadSlot):
-                self._load_grants.ask(self._engine.id, action.lora_name, action.weight)
+                self._load_grants.request(
+                    self._engine.id, action.lora_name, action.weight
+                )
             elif isinstance(action, ReturnLoadSlot):
                 self._release_grant(used=False, loaded=False)
             else:
--- a/bamboovale/engines/load_grant_router.py
+++ b/bamboovale/engines/load_grant_router.py
@@ -41,13 +41,13 @@
         """Send asks to this keeper, which finds the scheduler or is it."""
         self._keeper = keeper
 
-    def ask(self, engine_id: str, lora_name: str, weight: float) -> None:
+    def request(self, engine_id: str, lora_name: str, weight: float) -> None:
         """Ask for a grant on behalf of a holder here."""
         ask = LoadTurnAsk(engine_id, lora_name, weight)
         if self._keeper is not None:
             tell(self._keeper, LoadRequestReceived(self._own_id, ask))
 
-    def end(self, grant: LoadTurnGiven, *, used: bool, loaded: bool) -> None:
+    def release(self, grant: LoadTurnGiven, *, used: bool, loaded: bool) -> None:
         """Give a grant back to the scheduler that gave it."""
         ended = LoadTurnEnded(grant.scheduler, grant.number, used, loaded)
         vm_id = grant.scheduler.rpartition(":")[0]
@@ -56,10 +56,10 @@
         elif self._keeper is not None:
             tell(self._keeper, LoadReleaseReceived(ended))
 
-    def give(self, grant: LoadTurnGiven) -> None:
+    def deliver(self, grant: LoadTurnGiven) -> None:
         """Hand a grant to the holder here; back if the engine is not held here."""
         holder = self._holders.find(grant.engine_id)
         if holder is None:
-            self.end(grant, used=False, loaded=False)
+            self.release(grant, used=False, loaded=False)
         else:
             tell(holder, LoadGrantReceived(grant))
--- a/bamboovale/engines/load_grants.py
+++ b/bamboovale/engines/load_grants.py
@@ -51,14 +51,14 @@
         environment: Environment,
         views: Views,
         send: Callable[[str, Any], None],
-        give: Callable[[LoadTurnGiven], None],
+        deliver_here: Callable[[LoadTurnGiven], None],
     ) -> None:
         super().__init__(environment.metrics.internal_faults.inc)
         settings = environment.settings
         self._environment = environment
         self._views = views
         self._send = send
-        self._give = give
+        self._deliver_here = deliver_here
         self._own_id = settings.id
         self._config = LoadConfig(
             rate_per_s=settings.weight_loads_per_s,
@@ -136,13 +136,13 @@
             )
             vm_id = self._vm_by_engine.get(grant.engine_id, self._own_id)
             if vm_id == self._own_id:
-                self._give(given)
+                self._deliver_here(given)
             else:
                 self._send(vm_id, given)
 
     def _deliver_share(self, grants: list[LoadTurn]) -> None:
         for grant in grants:
-            self._give(
+            self._deliver_here(
                 LoadTurnGiven(
                     grant.engine_id,
                     grant.lora_name,
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -172,7 +172,7 @@
             environment,
             self.views,
             self._links.notify,
-            self._load_grant_router.give,
+            self._load_grant_router.deliver,
         )
         self._load_grant_router.attach(self._load_grants)
         self._catalogue = CatalogueKeeper.start(
@@ -330,7 +330,7 @@
                 permits=self._permits,
                 decisions=self.decisions,
                 answers=self._answers,
-                deliver_load_grant=self._load_grant_router.give,
+                deliver_load_grant=self._load_grant_router.deliver,
             ),
         )
         self._links.start(handler.on_request, handler.on_notice)
--- a/tests/test_engine_holder.py
+++ b/tests/test_engine_holder.py
@@ -35,10 +35,10 @@
 class PlayedTurns:
     """A weight store whose turn never comes."""
 
-    def ask(self, engine_id: str, lora_name: str, weight: float) -> None:
+    def request(self, engine_id: str, lora_name: str, weight: float) -> None:
         """Leave the ask unanswered."""
 
-    def end(self, turn: Any, *, used: bool, loaded: bool) -> None:
+    def release(self, grant: Any, *, used: bool, loaded: bool) -> None:
         """Take a turn back."""
 
 
