--- a/bamboovale/engines/holder.py
+++ b/bamboovale/engines/holder.py
@@ -75,7 +75,7 @@
 
     entry_vm: str
     ask_number: int
-    heard_at: float
+    last_seen_at: float
     reply: Callable[[PermitReply], None]
     stalled_since: float | None = None
 
@@ -119,7 +119,7 @@
 
     def _register_handlers(self) -> None:
         self.handle(Tick, self._on_tick)
-        self.handle(PermitRequestReceived, self._on_ask)
+        self.handle(PermitRequestReceived, self._on_request)
         self.handle(CancelReceived, self._on_cancel)
         self.handle(ReleaseReceived, self._on_release)
         self.handle(EntryVMGone, self._on_entry_vm_gone)
@@ -157,29 +157,29 @@
 
     # Asks of entry VMs.
 
-    def _on_ask(self, received: PermitRequestReceived) -> None:
-        ask = received.ask
-        queued = self._queued_by_id.get(ask.request_id)
+    def _on_request(self, received: PermitRequestReceived) -> None:
+        request = received.request
+        queued = self._queued_by_id.get(request.request_id)
         if queued is not None:
-            queued.ask_number = max(queued.ask_number, ask.ask_number)
-            queued.heard_at = self._now()
+            queued.ask_number = max(queued.ask_number, request.ask_number)
+            queued.last_seen_at = self._now()
             return
         if received.reply is None:
             return  # a repeat that crossed our answer
         if self._is_unreachable():
-            received.reply(_elsewhere(ask.request_id, "the engine does not answer"))
+            received.reply(_elsewhere(request.request_id, "the engine does not answer"))
             return
         now = self._now()
-        self._queued_by_id[ask.request_id] = WaitingRequest(
+        self._queued_by_id[request.request_id] = WaitingRequest(
             entry_vm=received.from_vm,
-            ask_number=ask.ask_number,
-            heard_at=now,
+            ask_number=request.ask_number,
+            last_seen_at=now,
             reply=received.reply,
         )
-        item = _work_item(ask, received.from_vm, now)
+        item = _work_item(request, received.from_vm, now)
         if item.target.lora_name not in self._dispatch.hint(now).loaded:
-            self._queued_by_id[ask.request_id].stalled_since = now
-        self._source_by_lora_name[item.target.lora_name] = ask.source
+            self._queued_by_id[request.request_id].stalled_since = now
+        self._source_by_lora_name[item.target.lora_name] = request.source
         self._carry_out(self._dispatch.on_request(item, now))
 
     def _on_cancel(self, message: CancelReceived) -> None:
@@ -211,7 +211,7 @@
         """Drop asks whose entry VM stopped repeating them: it died or gave up."""
         silent_since = now - self._config.send_within_s
         for request_id, queued in list(self._queued_by_id.items()):
-            if queued.heard_at < silent_since:
+            if queued.last_seen_at < silent_since:
                 self._drop(request_id)
                 self._carry_out(self._dispatch.on_cancel(request_id, now))
 
@@ -346,7 +346,7 @@
         if queued is None:
             self._take_back(permit)
             return
-        silent = queued.heard_at < now - self._config.send_within_s
+        silent = queued.last_seen_at < now - self._config.send_within_s
         if silent or not self._may_grant():
             self._take_back(permit)
             queued.reply(_elsewhere(permit.request_id, "no place can be granted now"))
@@ -382,20 +382,20 @@
         )
 
 
-def _work_item(ask: PermitAsk, entry_vm: str, now: float) -> WorkItem:
+def _work_item(request: PermitAsk, entry_vm: str, now: float) -> WorkItem:
     return WorkItem(
-        request_id=ask.request_id,
+        request_id=request.request_id,
         entry_vm=entry_vm,
-        target=AdapterVersion(ask.adapter, ask.version),
-        source=ask.source,
-        work_class=WorkClass(ask.work_class),
-        customer=ask.customer,
+        target=AdapterVersion(request.adapter, request.version),
+        source=request.source,
+        work_class=WorkClass(request.work_class),
+        customer=request.customer,
         arrived_at=now,
-        latest_start=now + ask.starts_within_s,
-        max_tokens=ask.max_tokens,
-        size_bytes=ask.size_bytes,
-        fingerprint=ask.fingerprint,
-        exclusive=ask.exclusive,
+        latest_start=now + request.starts_within_s,
+        max_tokens=request.max_tokens,
+        size_bytes=request.size_bytes,
+        fingerprint=request.fingerprint,
+        exclusive=request.exclusive,
     )
 
 
--- a/bamboovale/engines/load_grants.py
+++ b/bamboovale/engines/load_grants.py
@@ -17,14 +17,14 @@
     """A holder, here or on the VM named, wants a grant."""
 
     from_vm: str
-    ask: LoadTurnAsk
+    request: LoadTurnAsk
 
 
 @dataclass(frozen=True)
 class LoadReleaseReceived:
     """A grant is over."""
 
-    ended: LoadTurnEnded
+    release: LoadTurnEnded
 
 
 @dataclass(frozen=True)
@@ -71,8 +71,8 @@
         self._vm_by_engine: dict[str, str] = {}
         self._share = LoadScheduler.static_share(self._config, 1)
         self._share_of = 1
-        self.handle(LoadRequestReceived, self._on_asked)
-        self.handle(LoadReleaseReceived, self._on_ended)
+        self.handle(LoadRequestReceived, self._on_request)
+        self.handle(LoadReleaseReceived, self._on_release)
         self.handle(SchedulerLeaseChanged, self._on_lease)
         self.handle(Tick, self._on_tick)
         self.handle(DumpLoadGrants, self._on_dump)
@@ -85,36 +85,38 @@
             self._scheduler = LoadScheduler.from_config(self._config)
             self._scheduler_name = f"{self._own_id}:{message.fencing}"
 
-    def _on_asked(self, message: LoadRequestReceived) -> None:
-        ask = message.ask
+    def _on_request(self, message: LoadRequestReceived) -> None:
+        request = message.request
         now = self._environment.now()
         if self._scheduler is not None and self._valid():
-            key = (ask.engine_id, ask.lora_name, ask.weight)
+            key = (request.engine_id, request.lora_name, request.weight)
             grants = self._scheduler.on_ask(*key, now)
-            self._vm_by_engine[ask.engine_id] = message.from_vm
+            self._vm_by_engine[request.engine_id] = message.from_vm
             self._deliver(grants)
         elif message.from_vm == self._own_id:
-            self._ask_elsewhere(ask, now)
+            self._request_elsewhere(request, now)
 
-    def _ask_elsewhere(self, ask: LoadTurnAsk, now: float) -> None:
+    def _request_elsewhere(self, request: LoadTurnAsk, now: float) -> None:
         scheduler = self._views.holder_of(WEIGHT_STORE)
         usable = {vm.id for vm in self._views.membership.usable_entry_vms()}
         if scheduler in usable and scheduler != self._own_id:
-            self._send(scheduler, ask)
+            self._send(scheduler, request)
             return
         if len(usable) != self._share_of:
             self._share_of = len(usable)
             self._share = LoadScheduler.static_share(self._config, self._share_of)
-        grants = self._share.on_ask(ask.engine_id, ask.lora_name, ask.weight, now)
+        grants = self._share.on_ask(
+            request.engine_id, request.lora_name, request.weight, now
+        )
         self._deliver_share(grants)
 
-    def _on_ended(self, message: LoadReleaseReceived) -> None:
-        ended = message.ended
+    def _on_release(self, message: LoadReleaseReceived) -> None:
+        release = message.release
         now = self._environment.now()
-        if ended.scheduler == self._share_name:
-            self._deliver_share(_end(self._share, ended, now))
-        elif ended.scheduler == self._scheduler_name and self._scheduler is not None:
-            self._deliver(_end(self._scheduler, ended, now))
+        if release.scheduler == self._share_name:
+            self._deliver_share(_end(self._share, release, now))
+        elif release.scheduler == self._scheduler_name and self._scheduler is not None:
+            self._deliver(_end(self._scheduler, release, now))
 
     def _on_tick(self, _: Tick) -> None:
         now = self._environment.now()
@@ -161,7 +163,9 @@
         }
 
 
-def _end(scheduler: LoadScheduler, ended: LoadTurnEnded, now: float) -> list[LoadTurn]:
-    if ended.used:
-        return scheduler.on_done(ended.number, now, loaded=ended.loaded)
-    return scheduler.on_returned(ended.number, now)
+def _end(
+    scheduler: LoadScheduler, release: LoadTurnEnded, now: float
+) -> list[LoadTurn]:
+    if release.used:
+        return scheduler.on_done(release.number, now, loaded=release.loaded)
+    return scheduler.on_returned(release.number, now)
--- a/bamboovale/engines/messages.py
+++ b/bamboovale/engines/messages.py
@@ -12,7 +12,7 @@
     """An ask with the way back to the entry VM that sent it."""
 
     from_vm: str
-    ask: PermitAsk
+    request: PermitAsk
     reply: Callable[[PermitReply], None] | None
 
 
