--- a/bamboovale/entry/holder_router.py
+++ b/bamboovale/entry/holder_router.py
@@ -54,15 +54,17 @@
         lease = self._views.lease_by_engine.get(engine_id)
         return -1 if lease is None else lease.fencing
 
-    def ask(self, holder: str, ask: PermitAsk, timeout_s: float) -> "Future[Any]":
+    def request_permit(
+        self, holder: str, request: PermitAsk, timeout_s: float
+    ) -> "Future[Any]":
         """Send the first ask of a request."""
         if holder != self._own_id:
-            return self._links.request(holder, ask, timeout_s)
+            return self._links.request(holder, request, timeout_s)
         future: Future[Any] = Future()
-        deliver_ask(self._holders, self._own_id, ask, future.set_result)
+        deliver_permit_request(self._holders, self._own_id, request, future.set_result)
         return future
 
-    def tell(self, holder: str, message: Any) -> None:
+    def notify(self, holder: str, message: Any) -> None:
         """Send a message that needs no answer."""
         if holder != self._own_id:
             self._links.notify(holder, message)
@@ -70,18 +72,18 @@
             deliver_notice(self._holders, self._own_id, message)
 
 
-def deliver_ask(
+def deliver_permit_request(
     holders: EngineHolders,
     from_vm: str,
-    ask: PermitAsk,
+    request: PermitAsk,
     reply: Any,
 ) -> None:
     """Hand an ask to the engine's holder here, or send it elsewhere."""
-    holder = holders.find(ask.engine_id)
+    holder = holders.find(request.engine_id)
     if holder is None:
         reply(
             PermitReply(
-                request_id=ask.request_id,
+                request_id=request.request_id,
                 code=ErrorCode.NO_ENDPOINT,
                 reason="the lease on the engine is not here",
                 retry_after_s=0.0,
@@ -89,7 +91,7 @@
             )
         )
         return
-    tell(holder, PermitRequestReceived(from_vm, ask, reply))
+    tell(holder, PermitRequestReceived(from_vm, request, reply))
 
 
 def deliver_notice(holders: EngineHolders, from_vm: str, message: Any) -> None:
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -17,7 +17,7 @@
 from bamboovale.engines.load_grants import LoadReleaseReceived, LoadRequestReceived
 from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.entry.engine_holders import EngineHolders
-from bamboovale.entry.holder_router import deliver_ask, deliver_notice
+from bamboovale.entry.holder_router import deliver_notice, deliver_permit_request
 from bamboovale.entry.permits import PermitClient
 from bamboovale.membership.keeper import StatusReceived
 from bamboovale.peers.messages import (
@@ -65,7 +65,7 @@
         self._views = views
         self._targets = targets
         self._request_by_type: dict[type, Callable[[str, Any, Reply], None]] = {
-            PermitAsk: self._on_permit_ask,
+            PermitAsk: self._on_permit_request,
             PermitsQuery: self._on_permits_query,
             CatalogueQuery: self._on_catalogue_query,
             RevisionQuery: self._on_revision_query,
@@ -95,8 +95,8 @@
         if handler is not None:
             handler(sender, message)
 
-    def _on_permit_ask(self, sender: str, ask: PermitAsk, reply: Reply) -> None:
-        deliver_ask(self._targets.holders, sender, ask, reply)
+    def _on_permit_request(self, sender: str, request: PermitAsk, reply: Reply) -> None:
+        deliver_permit_request(self._targets.holders, sender, request, reply)
 
     def _on_holder_notice(self, sender: str, message: Any) -> None:
         deliver_notice(self._targets.holders, sender, message)
@@ -133,8 +133,8 @@
             passed = CatalogueRecordsPassed(notice.first_offset, notice.values)
             tell(self._targets.catalogue, passed)
 
-    def _on_load_request(self, sender: str, ask: LoadTurnAsk) -> None:
-        tell(self._targets.load_grants, LoadRequestReceived(sender, ask))
+    def _on_load_request(self, sender: str, request: LoadTurnAsk) -> None:
+        tell(self._targets.load_grants, LoadRequestReceived(sender, request))
 
     def _on_load_grant(self, _: str, grant: LoadTurnGiven) -> None:
         self._targets.deliver_load_grant(grant)
--- a/bamboovale/entry/permits.py
+++ b/bamboovale/entry/permits.py
@@ -40,11 +40,13 @@
         """Return the fencing number of the present holder, -1 if not known."""
         ...
 
-    def ask(self, holder: str, ask: PermitAsk, timeout_s: float) -> "Future[Any]":
+    def request_permit(
+        self, holder: str, request: PermitAsk, timeout_s: float
+    ) -> "Future[Any]":
         """Send the first ask; the future brings a :class:`PermitReply`."""
         ...
 
-    def tell(self, holder: str, message: Any) -> None:
+    def notify(self, holder: str, message: Any) -> None:
         """Send a message that needs no answer."""
         ...
 
@@ -134,7 +136,7 @@
             known = self._held_by_id.pop(permit.permit_id, None)
         if known is not None:
             message = PermitRelease(permit.engine_id, permit.permit_id, refused)
-            self._links.tell(held.holder, message)
+            self._links.notify(held.holder, message)
 
     def may_still_send(self, held: HeldPermit) -> bool:
         """Check the send-by time, right before the first byte is sent."""
@@ -207,7 +209,7 @@
 
     def _ask(self) -> "Future[Any]":
         left_s = max(0.0, self._item.latest_start - self._now())
-        return self._links.ask(
+        return self._links.request_permit(
             self._holder,
             self._message(left_s),
             left_s + 2 * GRACE_S,
@@ -247,7 +249,7 @@
         if self._links.holder_of(self._engine_id) != self._holder:
             return TryAnotherEngine("the lease on the engine has moved", 0.0)
         left_s = max(0.0, self._item.latest_start - now)
-        self._links.tell(self._holder, self._message(left_s))
+        self._links.notify(self._holder, self._message(left_s))
         return None
 
     def _settle(
@@ -281,7 +283,7 @@
         return HeldPermit(permit, self._holder, asked_at + permit.send_within_s)
 
     def _cancel(self) -> None:
-        self._links.tell(
+        self._links.notify(
             self._holder,
             PermitCancel(self._engine_id, self._item.request_id),
         )
@@ -296,7 +298,7 @@
             permit = done.result().permit
             if permit is not None:
                 release = PermitRelease(permit.engine_id, permit.permit_id)
-                self._links.tell(self._holder, release)
+                self._links.notify(self._holder, release)
 
         future.add_done_callback(return_late_permit)
 
--- a/tests/test_entry_permits.py
+++ b/tests/test_entry_permits.py
@@ -54,11 +54,13 @@
     def fencing_of(self, engine_id: str) -> int:
         return self.fencing
 
-    def ask(self, holder: str, ask: PermitAsk, timeout_s: float) -> "Future[Any]":
+    def request_permit(
+        self, holder: str, request: PermitAsk, timeout_s: float
+    ) -> "Future[Any]":
         self.asked.set()
         return self.future
 
-    def tell(self, holder: str, message: Any) -> None:
+    def notify(self, holder: str, message: Any) -> None:
         self.told.append(message)
 
     def told_of(self, kind: type) -> list[Any]:
