--- a/bamboovale/engines/holder.py
+++ b/bamboovale/engines/holder.py
@@ -241,7 +241,7 @@
 
     def _on_tick(self, _: Tick) -> None:
         now = self._now()
-        valid = self._orders.allowed()
+        valid = self._orders.lease_valid()
         self._carry_out(self._dispatch.set_may_order(valid, now))
         self._carry_out(self._dispatch.set_may_grant(self._may_grant(), now))
         self._drop_silent_asks(now)
@@ -282,7 +282,7 @@
         now = self._now()
         name = ended.lora_name
         if ended.order is Load:
-            self._release_grant(used=ended.given, loaded=ended.succeeded)
+            self._release_grant(used=ended.sent, loaded=ended.succeeded)
             if ended.succeeded:
                 self._carry_out(self._dispatch.on_loaded(name, now))
             else:
@@ -364,7 +364,7 @@
 
     def _may_grant(self) -> bool:
         """Look at the clock itself: the VM may have been paused since its last tick."""
-        return self._orders.allowed() or self._log_is_down()
+        return self._orders.lease_valid() or self._log_is_down()
 
     def _refuse(self, request_id: str, refusal: Refusal) -> None:
         queued = self._queued_by_id.pop(request_id, None)
--- a/bamboovale/engines/orders.py
+++ b/bamboovale/engines/orders.py
@@ -28,18 +28,18 @@
 class OrderCompleted:
     """A load or an eviction ended; ``order`` is its type.
 
-    ``given`` is False where the lease, or a run at the engine, did not allow the order
+    ``sent`` is False where the lease, or a run at the engine, did not allow the order
     to be sent at all.
     """
 
     order: type
     lora_name: str
-    given: bool
+    sent: bool
     succeeded: bool
 
 
 class LeasedOrders:
-    """Gives orders to one engine while ``allowed`` says that the lease is valid."""
+    """Gives orders to one engine while ``lease_valid`` says that the lease is valid."""
 
     def __init__(
         self,
@@ -47,13 +47,13 @@
         client: EngineClient,
         engine: EngineAddress,
         fencing: int,
-        allowed: Callable[[], bool],
+        lease_valid: Callable[[], bool],
     ) -> None:
         self._environment = environment
         self._client = client
         self._engine = engine
         self._fencing = fencing
-        self.allowed = allowed
+        self.lease_valid = lease_valid
 
     def read_view(
         self,
@@ -65,18 +65,18 @@
 
     def carry_out(self, actor: pykka.ActorRef, order: Load | Unload) -> None:
         """Give one order and tell the actor how it ended."""
-        given = self._may_give(order)
-        succeeded = given and self._give(order)
-        if succeeded and not self.allowed():
+        sent = self._may_send(order)
+        succeeded = sent and self._send(order)
+        if succeeded and not self.lease_valid():
             self._environment.metrics.orders_after_lapse.inc()
             logger.warning(
                 "lease on %s lapsed while %s was ordered",
                 self._engine.id,
                 order.lora_name,
             )
-        tell(actor, OrderCompleted(type(order), order.lora_name, given, succeeded))
+        tell(actor, OrderCompleted(type(order), order.lora_name, sent, succeeded))
 
-    def _may_give(self, order: Load | Unload) -> bool:
+    def _may_send(self, order: Load | Unload) -> bool:
         """Look at the engine first and at the lease last.
 
         Guards against a pause during the look at the engine, which takes milliseconds
@@ -85,7 +85,7 @@
         """
         if isinstance(order, Unload) and not self._is_idle(order.lora_name):
             return False
-        return self.allowed()
+        return self.lease_valid()
 
     def _read(self) -> EngineView | None:
         asked_at = self._environment.now()
@@ -94,7 +94,7 @@
             return replace(answer.ok_value, read_at=asked_at)
         return None
 
-    def _give(self, order: Load | Unload) -> bool:
+    def _send(self, order: Load | Unload) -> bool:
         metrics = self._environment.metrics
         if isinstance(order, Load):
             ended = self._client.load(
--- a/tests/test_engine_holder.py
+++ b/tests/test_engine_holder.py
@@ -22,7 +22,7 @@
 class PlayedOrders:
     """An engine of which the test says what it answers."""
 
-    def allowed(self) -> bool:
+    def lease_valid(self) -> bool:
         return True
 
     def read_view(self, actor: Any, make_message: Any) -> None:
--- a/tests/test_leased_orders.py
+++ b/tests/test_leased_orders.py
@@ -101,7 +101,7 @@
             self.engine,
             ENGINE,
             fencing=7,
-            allowed=lambda: self.valid,
+            lease_valid=lambda: self.valid,
         )
 
     def lapse(self) -> None:
