--- a/bamboovale/entry/peer_client.py
+++ b/bamboovale/entry/peer_client.py
@@ -48,13 +48,13 @@
         self._links = links
         self._answers = answers
 
-    def pass_on(self, first_offset: int, values: tuple[Any, ...]) -> None:
+    def forward_records(self, first_offset: int, values: tuple[Any, ...]) -> None:
         """Pass new catalogue records on to a few peers."""
         notice = RecordsNotice(CATALOGUE_STREAM, first_offset, values)
         for vm_id in self._some_peers(PASS_ON_TO):
             self._links.notify(vm_id, notice)
 
-    def ask_catalogue(self, vm_id: str | None, keeper: pykka.ActorRef) -> None:
+    def request_catalogue(self, vm_id: str | None, keeper: pykka.ActorRef) -> None:
         """Ask a peer, any if None, for a whole catalogue; the keeper gets it."""
         for peer in self._some_peers(1) if vm_id is None else [vm_id]:
             future: Future[Any] = self._links.request(
@@ -68,7 +68,7 @@
                 lambda answer: CatalogueFromPeer(getattr(answer, "snapshot", None)),
             )
 
-    def ask_permits(
+    def request_permits(
         self,
         engine_id: str,
         own_permits: tuple[Permit, ...],
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -126,7 +126,7 @@
             self._engines,
             self._ticker,
         )
-        self._exchange = PeerClient(
+        self._peer_client = PeerClient(
             settings.id,
             self.views,
             self._links,
@@ -138,7 +138,7 @@
         self._holder_links = HolderCallbacks(
             load_grants=self._load_grant_router,
             on_hint=lambda hint: tell(self._membership, HintMade(hint)),
-            on_started=self._ask_permits_held,
+            on_started=self._request_permits_held,
             on_stopped=lambda engine_id: tell(
                 self._membership,
                 HolderStopped(engine_id),
@@ -180,8 +180,8 @@
             self.views,
             self._appender_by_stream[CATALOGUE_STREAM],
             CatalogueCallbacks(
-                pass_on=self._exchange.pass_on,
-                ask_peer=lambda vm_id: self._exchange.ask_catalogue(
+                pass_on=self._peer_client.forward_records,
+                ask_peer=lambda vm_id: self._peer_client.request_catalogue(
                     vm_id,
                     self._catalogue,
                 ),
@@ -215,7 +215,7 @@
             environment,
             self._claims,
             self._answers,
-            self._exchange.find_answer,
+            self._peer_client.find_answer,
             lambda: self._health.reachable,
         )
         crash_reporter = CrashReporter(
@@ -406,15 +406,15 @@
             return
         self._holders.stop(engine_id, self._holder_links)
 
-    def _ask_permits_held(self, engine_id: str) -> None:
+    def _request_permits_held(self, engine_id: str) -> None:
         holder = self._holders.find(engine_id)
         if holder is not None:
             held = self._permits.held_on(engine_id)
-            self._exchange.ask_permits(engine_id, held, holder)
+            self._peer_client.request_permits(engine_id, held, holder)
 
     def _publish_crash(self, notice: CrashNotice) -> None:
         appender = self._appender_by_stream[NOTICE_STREAM]
-        self._exchange.publish_crash(notice, appender.append)
+        self._peer_client.publish_crash(notice, appender.append)
 
     def _read_crashes(self, batch: RecordBatch) -> None:
         for record in batch.records:
