--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -102,7 +102,7 @@
         deliver_notice(self._targets.holders, sender, message)
 
     def _on_permits_query(self, _: str, query: PermitsQuery, reply: Reply) -> None:
-        held = self._targets.permits.held_on(query.engine_id)
+        held = self._targets.permits.permits_on(query.engine_id)
         reply(PermitsHeld(query.engine_id, held))
 
     def _on_catalogue_query(self, _: str, __: CatalogueQuery, reply: Reply) -> None:
--- a/bamboovale/entry/permits.py
+++ b/bamboovale/entry/permits.py
@@ -145,7 +145,7 @@
         self._environment.metrics.permits_discarded.inc()
         return False
 
-    def held_on(self, engine_id: str) -> tuple[Permit, ...]:
+    def permits_on(self, engine_id: str) -> tuple[Permit, ...]:
         """Return the permits in use on an engine, for a new lease holder."""
         with self._lock:
             return tuple(
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -409,7 +409,7 @@
     def _request_permits_held(self, engine_id: str) -> None:
         holder = self._holders.find(engine_id)
         if holder is not None:
-            held = self._permits.held_on(engine_id)
+            held = self._permits.permits_on(engine_id)
             self._peer_client.request_permits(engine_id, held, holder)
 
     def _publish_crash(self, notice: CrashNotice) -> None:
--- a/tests/test_entry_permits.py
+++ b/tests/test_entry_permits.py
@@ -127,7 +127,7 @@
         desk.links.future.set_result(PermitReply("r.1", permit=permit()))
         held = desk.acquire()
         assert isinstance(held, HeldPermit)
-        assert desk.desk.held_on("g1") == (held.permit,)
+        assert desk.desk.permits_on("g1") == (held.permit,)
 
     def test_a_refusal(self) -> None:
         desk = Desk()
