--- a/bamboovale/entry/readiness.py
+++ b/bamboovale/entry/readiness.py
@@ -28,8 +28,8 @@
 class ReadinessInputs:
     """What is known here; ``log_silent_s`` since the log last answered this VM."""
 
-    catalogue_whole: bool
-    list_read: bool
+    catalogue_complete: bool
+    vm_list_read: bool
     log_silent_s: float
     catalogue_next_offset: int
     other_entry_vms: int
@@ -38,7 +38,7 @@
 
 def may_serve(inputs: ReadinessInputs) -> bool:
     """Tell whether this VM may take requests."""
-    if not inputs.catalogue_whole or not inputs.list_read:
+    if not inputs.catalogue_complete or not inputs.vm_list_read:
         return False
     if inputs.log_silent_s <= STALE_AFTER_S or inputs.other_entry_vms == 0:
         return True
--- a/bamboovale/membership/keeper.py
+++ b/bamboovale/membership/keeper.py
@@ -291,8 +291,8 @@
             if vm.id in self._heard_by_vm and vm.id not in membership.unreachable_ids
         ]
         inputs = ReadinessInputs(
-            catalogue_whole=self._views.catalogue is not None,
-            list_read=self._list_read,
+            catalogue_complete=self._views.catalogue is not None,
+            vm_list_read=self._list_read,
             log_silent_s=now - self._seen_log_at,
             catalogue_next_offset=self._catalogue_next_offset(),
             other_entry_vms=len(membership.listed_entry_vms())
--- a/tests/test_entry_readiness.py
+++ b/tests/test_entry_readiness.py
@@ -14,8 +14,8 @@
 from bamboovale.views import Views
 
 SOUND = ReadinessInputs(
-    catalogue_whole=True,
-    list_read=True,
+    catalogue_complete=True,
+    vm_list_read=True,
     log_silent_s=0.0,
     catalogue_next_offset=10,
     other_entry_vms=2,
@@ -29,8 +29,8 @@
 
     def test_a_whole_catalogue_is_needed(self) -> None:
         assert may_serve(SOUND)
-        assert not may_serve(replace(SOUND, catalogue_whole=False))
-        assert not may_serve(replace(SOUND, list_read=False))
+        assert not may_serve(replace(SOUND, catalogue_complete=False))
+        assert not may_serve(replace(SOUND, vm_list_read=False))
 
     def test_a_log_down_for_all_does_not_stop_service(self) -> None:
         down = PeerReport(log_reachable=False, catalogue_next_offset=10)
