--- a/bamboovale/entry/request_gate.py
+++ b/bamboovale/entry/request_gate.py
@@ -18,42 +18,42 @@
 from cheroot import wsgi
 from cheroot.server import HTTPConnection
 
-PATIENCE_S = 5.0
+REQUEST_TIMEOUT_S = 5.0
 """From the first byte (or the connecting) to the whole request; a caller on a poor
 mobile link needs about a second."""
 
-MAX_WAITING = 1000
+MAX_WAITING_CONNECTIONS = 1000
 """Connections that wait at once; each costs a descriptor. The oldest goes first."""
 
-MAX_BODY_WAITED_FOR = 32 * 1024
+MAX_BUFFERED_BODY_BYTES = 32 * 1024
 """Larger bodies are read by a thread: the kernel's buffer may not hold them whole."""
 
 MAX_HEAD_BYTES = 32 * 1024
 """Beyond it a thread takes the request, and refuses it."""
 
-SLOWEST_BODY_BYTES_PER_S = 64 * 1024
-TICK_S = 0.25
+MIN_BODY_BYTES_PER_S = 64 * 1024
+POLL_INTERVAL_S = 0.25
 HEAD_END = b"\r\n\r\n"
 TIMEOUT_ANSWER = (
     b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 )
 
 
-def is_whole(data: bytes) -> bool:
+def is_complete(data: bytes) -> bool:
     r"""Tell whether a thread can take the request without waiting for its caller.
 
     That goes for what can only be refused as well: the server knows how.
 
-    >>> is_whole(b"GET / HTTP/1.1\r\nHost: x\r\n")
+    >>> is_complete(b"GET / HTTP/1.1\r\nHost: x\r\n")
     False
-    >>> is_whole(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+    >>> is_complete(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
     True
     """
     head, end, body = data.partition(HEAD_END)
     if not end:
         return len(data) >= MAX_HEAD_BYTES
     length = _body_length(head.lower())
-    return len(body) >= length or length > MAX_BODY_WAITED_FOR
+    return len(body) >= length or length > MAX_BUFFERED_BODY_BYTES
 
 
 def _body_length(head: bytes) -> int:
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True)
-class Waiting:
+class WaitingConnection:
     """A connection whose request has not arrived whole."""
 
     connection: HTTPConnection
@@ -102,14 +102,14 @@
 
     def offer(self, connection: HTTPConnection) -> None:
         """Admit a connection, at once if its request is there."""
-        if connection.rfile.has_data() or _has_whole_request(connection.socket):
+        if connection.rfile.has_data() or _has_complete_request(connection.socket):
             self._admit(connection)
             return
         descriptor = connection.socket.fileno()
-        waiting = Waiting(connection, time.monotonic() + PATIENCE_S)
+        waiting = WaitingConnection(connection, time.monotonic() + REQUEST_TIMEOUT_S)
         with self._lock:
             self._waiting_by_descriptor[descriptor] = waiting
-            crowded = len(self._waiting_by_descriptor) > MAX_WAITING
+            crowded = len(self._waiting_by_descriptor) > MAX_WAITING_CONNECTIONS
             oldest = next(iter(self._waiting_by_descriptor))
         # Edge-triggered: an event for each arrival, not for what lies there unread.
         # Bytes that came since they were looked for cause one as well.
@@ -120,15 +120,15 @@
 
     def _run(self) -> None:
         while not self._stopping.is_set():
-            for descriptor, events in self._epoll.poll(TICK_S):
-                self._look(descriptor, ended=bool(events & select.EPOLLRDHUP))
+            for descriptor, events in self._epoll.poll(POLL_INTERVAL_S):
+                self._poll(descriptor, ended=bool(events & select.EPOLLRDHUP))
             self._drop_overdue()
 
-    def _look(self, descriptor: int, *, ended: bool) -> None:
+    def _poll(self, descriptor: int, *, ended: bool) -> None:
         waiting = self._waiting_by_descriptor.get(descriptor)
         if waiting is None:
             return
-        if not _has_whole_request(waiting.connection.socket):
+        if not _has_complete_request(waiting.connection.socket):
             if ended:
                 self._drop(descriptor)
             return
@@ -145,7 +145,7 @@
             ]
         for descriptor in overdue:
             # Of a VM that was frozen the clock has gone on; what came meanwhile counts.
-            self._look(descriptor, ended=False)
+            self._poll(descriptor, ended=False)
             self._drop(descriptor)
 
     def _drop(self, descriptor: int) -> None:
@@ -157,7 +157,7 @@
             waiting.connection.socket.send(TIMEOUT_ANSWER)
         waiting.connection.close()
 
-    def _take(self, descriptor: int) -> Waiting | None:
+    def _take(self, descriptor: int) -> WaitingConnection | None:
         """Take a connection out; whoever gets it has it alone."""
         with self._lock:
             waiting = self._waiting_by_descriptor.pop(descriptor, None)
@@ -167,7 +167,7 @@
         return waiting
 
 
-def _has_whole_request(connection: socket.socket) -> bool:
+def _has_complete_request(connection: socket.socket) -> bool:
     """Look at what has arrived without taking it; an end counts as whole."""
     try:
         poll = select.poll()
@@ -175,11 +175,11 @@
         # Python's read would wait for the socket's timeout, also with MSG_DONTWAIT.
         if not poll.poll(0):
             return False
-        size = MAX_HEAD_BYTES + MAX_BODY_WAITED_FOR
+        size = MAX_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES
         data = connection.recv(size, socket.MSG_PEEK)
     except (OSError, ValueError):
         return True  # broken: the thread that takes it finds out and closes it
-    return not data or is_whole(data)
+    return not data or is_complete(data)
 
 
 class GatedServer(wsgi.Server):
@@ -217,7 +217,7 @@
     if connection is None or _has_waited(environ, size):
         yield
         return
-    seconds = PATIENCE_S + size / SLOWEST_BODY_BYTES_PER_S
+    seconds = REQUEST_TIMEOUT_S + size / MIN_BODY_BYTES_PER_S
     timer = threading.Timer(seconds, _break_off, (connection,))
     timer.daemon = True
     timer.start()
@@ -230,7 +230,7 @@
 def _has_waited(environ: Mapping[str, Any], size: int) -> bool:
     """Tell whether the gate has waited for this body."""
     is_sent_later = "HTTP_EXPECT" in environ or "HTTP_TRANSFER_ENCODING" in environ
-    return size <= MAX_BODY_WAITED_FOR and not is_sent_later
+    return size <= MAX_BUFFERED_BODY_BYTES and not is_sent_later
 
 
 def _break_off(connection: socket.socket) -> None:
--- a/tests/test_request_gate.py
+++ b/tests/test_request_gate.py
@@ -11,12 +11,12 @@
 from bamboovale.entry import request_gate
 from bamboovale.entry.caller_request import read_request
 from bamboovale.entry.http_server import HttpListener
-from bamboovale.entry.request_gate import MAX_BODY_WAITED_FOR, is_whole
+from bamboovale.entry.request_gate import MAX_BUFFERED_BODY_BYTES, is_complete
 from bench.processes import find_free_port
 from tests.raw_http import request, send, silent_connections, trickle
 
 HEAD = b"POST / HTTP/1.1\r\nHost: x\r\n"
-TOO_LARGE = str(MAX_BODY_WAITED_FOR + 1).encode()
+TOO_LARGE = str(MAX_BUFFERED_BODY_BYTES + 1).encode()
 
 
 class TestIsWhole:
@@ -40,7 +40,7 @@
         ],
     )
     def test_is_whole(self, data: bytes, whole: bool) -> None:
-        assert is_whole(data) is whole
+        assert is_complete(data) is whole
 
 
 def echo(environ: dict[str, Any], start_response: Any) -> Iterable[bytes]:
@@ -56,7 +56,7 @@
 
     @pytest.fixture
     def address(self, monkeypatch: pytest.MonkeyPatch) -> Iterator[tuple[str, int]]:
-        monkeypatch.setattr(request_gate, "PATIENCE_S", 1.0)
+        monkeypatch.setattr(request_gate, "REQUEST_TIMEOUT_S", 1.0)
         address = ("127.0.0.1", find_free_port("127.0.0.1"))
         listener = HttpListener(
             "test", address, echo, threads=1, max_body_bytes=1 << 20
@@ -79,7 +79,7 @@
         assert answer.text.count("HTTP/1.1 200 OK") == 2
 
     def test_a_large_body(self, address: tuple[str, int]) -> None:
-        body = b"x" * (4 * MAX_BODY_WAITED_FOR)
+        body = b"x" * (4 * MAX_BUFFERED_BODY_BYTES)
         assert len(send(address, request("POST", "/", body)).text) > len(body)
 
     def test_a_slow_caller_is_let_go_and_keeps_no_one_waiting(
