--- a/bamboovale/entry/caller_answer.py
+++ b/bamboovale/entry/caller_answer.py
@@ -62,7 +62,7 @@
     outcome: AnswerOutcome = field(default_factory=AnswerOutcome)
 
     @classmethod
-    def whole(
+    def complete(
         cls,
         status: int,
         headers: list[tuple[str, str]],
--- a/bamboovale/entry/caller_app.py
+++ b/bamboovale/entry/caller_app.py
@@ -181,7 +181,7 @@
 
 
 def _json(status: int, value: Any) -> CallerAnswer:
-    return CallerAnswer.whole(status, [JSON_TYPE], json.dumps(value).encode())
+    return CallerAnswer.complete(status, [JSON_TYPE], json.dumps(value).encode())
 
 
 def _method_not_allowed(request: CallerRequest, allowed: str) -> CallerAnswer:
--- a/bamboovale/entry/endpoint_connections.py
+++ b/bamboovale/entry/endpoint_connections.py
@@ -101,7 +101,7 @@
         connection.timeout = read_timeout_s
         return Exchange(connection)
 
-    def give_back(self, address: tuple[str, int], exchange: Exchange) -> None:
+    def release(self, address: tuple[str, int], exchange: Exchange) -> None:
         """Keep the connection; its answer was read to the end."""
         response = exchange.response
         reusable = (
--- a/bamboovale/entry/engine_run.py
+++ b/bamboovale/entry/engine_run.py
@@ -101,7 +101,7 @@
             raise self._head_failure(response)
         return response
 
-    def read_whole(self, response: BaseHTTPResponse) -> bytes:
+    def read_answer(self, response: BaseHTTPResponse) -> bytes:
         """Return the whole answer of a request that is not a stream."""
         data = self._read(response)
         try:
@@ -111,7 +111,7 @@
         self._check_owner(answer)
         self._check_whole(answer)
         self._finished = True
-        self._connections.give_back(self._target.address, self.exchange)
+        self._connections.release(self._target.address, self.exchange)
         return data
 
     def read_events(self, response: BaseHTTPResponse) -> Iterator[bytes]:
@@ -137,7 +137,7 @@
             RunFailure.BROKEN, "the stream ended without its end marker"
         )
 
-    def give_up(self) -> None:
+    def abandon(self) -> None:
         """Close the connection: it cancels the run, and no late answer is read."""
         if not self._finished:
             self._connections.discard(self.exchange)
@@ -162,7 +162,7 @@
             rest = b"?"
         if not rest:
             self._finished = True
-            self._connections.give_back(self._target.address, self.exchange)
+            self._connections.release(self._target.address, self.exchange)
 
     def _head_failure(self, response: BaseHTTPResponse) -> RunFailedError:
         data = self._read(response)
--- a/bamboovale/entry/idempotency_keys.py
+++ b/bamboovale/entry/idempotency_keys.py
@@ -168,7 +168,7 @@
                     ("X-Request-Id", request.request_id),
                     ("X-Repeated-Answer", "1"),
                 ]
-                return CallerAnswer.whole(kept.status, headers, kept.body)
+                return CallerAnswer.complete(kept.status, headers, kept.body)
             if kept.state is AnswerState.NOT_RUN:
                 return self._refuse(
                     request,
--- a/bamboovale/entry/model_runs.py
+++ b/bamboovale/entry/model_runs.py
@@ -75,7 +75,7 @@
         with contextlib.ExitStack() as stack:
             stack.callback(self._permits.release, order.held)
             run = self._open(order)
-            stack.callback(run.give_up)
+            stack.callback(run.abandon)
             disconnect.on_disconnect(run.exchange.abort)
             if not self._permits.may_still_send(order.held):
                 raise RunFailedError(RunFailure.NOT_SENT, "the permit came too late")
@@ -84,9 +84,9 @@
             headers = self._headers(order, request)
             if order.call.stream:
                 return self._stream(order, run, response, headers, stack)
-            body = run.read_whole(response)
+            body = run.read_answer(response)
         self._decisions.on_answered(order.fingerprint)
-        return CallerAnswer.whole(200, [JSON_TYPE, *headers], body)
+        return CallerAnswer.complete(200, [JSON_TYPE, *headers], body)
 
     def _send(self, run: EngineRun, order: RunSpec) -> BaseHTTPResponse:
         try:
@@ -198,7 +198,7 @@
         except RunFailedError:
             return False
         finally:
-            run.give_up()
+            run.abandon()
         return True
 
 
--- a/bamboovale/entry/service_calls.py
+++ b/bamboovale/entry/service_calls.py
@@ -150,7 +150,7 @@
             finished = True
         finally:
             if finished:
-                self._connections.give_back(address, exchange)
+                self._connections.release(address, exchange)
             else:
                 self._connections.discard(exchange)
         assert exchange.response is not None
@@ -160,7 +160,7 @@
             ("X-Endpoint", endpoint_id),
             ("X-Entry", self._environment.settings.id),
         ]
-        return CallerAnswer.whole(exchange.response.status, headers, body)
+        return CallerAnswer.complete(exchange.response.status, headers, body)
 
     def _send(
         self,
--- a/tests/test_endpoint_connections.py
+++ b/tests/test_endpoint_connections.py
@@ -39,7 +39,7 @@
             exchange = connections.open(address, read_timeout_s=10.0)
             response = exchange.send("GET", "/", b"", {})
             assert (response.status, len(response.read()) > 0) == (200, True)
-            connections.give_back(address, exchange)
+            connections.release(address, exchange)
         connections.close()
 
     def test_an_answer_is_not_awaited_for_longer(
--- a/tests/test_engine_run.py
+++ b/tests/test_engine_run.py
@@ -102,16 +102,16 @@
     def whole(self) -> bytes:
         run = self.begin()
         try:
-            return run.read_whole(run.send("/v1/completions", b"{}"))
+            return run.read_answer(run.send("/v1/completions", b"{}"))
         finally:
-            run.give_up()
+            run.abandon()
 
     def events(self) -> list[bytes]:
         run = self.begin()
         try:
             return list(run.read_events(run.send("/v1/completions", b"{}")))
         finally:
-            run.give_up()
+            run.abandon()
 
     def failure(self, read: str) -> RunFailure:
         with pytest.raises(RunFailedError) as raised:
@@ -199,14 +199,14 @@
             run = Run(address)
             first = run.begin()
             first.send("/v1/completions", b"{}")
-            first.give_up()
+            first.abandon()
             second = run.begin()
             assert second.exchange.connection is not first.exchange.connection
-            second.give_up()
+            second.abandon()
 
     def test_an_answered_connection_is_kept(self) -> None:
         with engine_that_sends(whole(200, answer()), whole(200, answer())) as address:
             run = Run(address)
             first = run.begin()
-            first.read_whole(first.send("/v1/completions", b"{}"))
+            first.read_answer(first.send("/v1/completions", b"{}"))
             assert run.begin().exchange.connection is first.exchange.connection
--- a/tests/test_entry_idempotency_keys.py
+++ b/tests/test_entry_idempotency_keys.py
@@ -69,7 +69,7 @@
     def answer(self, result: CallerAnswer | None = None) -> CallerAnswer:
         def run() -> CallerAnswer:
             self.runs += 1
-            return result or CallerAnswer.whole(201, [("X-Own", "1")], b"booked")
+            return result or CallerAnswer.complete(201, [("X-Own", "1")], b"booked")
 
         return self.keyed.answer(request(), "r.1", "lernwerk", run)
 
--- a/tests/test_model_requests.py
+++ b/tests/test_model_requests.py
@@ -167,7 +167,7 @@
         return RunFailedError(RunFailure.BROKEN, "aborted")
 
 
-DONE = CallerAnswer.whole(200, [], b"{}")
+DONE = CallerAnswer.complete(200, [], b"{}")
 
 
 class TestHangup:
