--- a/bamboovale/admin/app.py
+++ b/bamboovale/admin/app.py
@@ -51,8 +51,8 @@
     ) -> None:
         self._port = port
         self._token = token
-        self._waiting = WaitingCallLimiter()
-        self._submission = Submission(port, self._waiting, wall_clock)
+        self._limiter = WaitingCallLimiter()
+        self._submission = Submission(port, self._limiter, wall_clock)
         self._handler_by_route: dict[tuple[str, str], Callable[..., Reply]] = {
             ("GET", "entries"): self._get_entries,
             ("GET", "entry"): self._get_entry,
@@ -196,8 +196,8 @@
             )
         if revision is None or timeout_s is None:
             return reply_findings(findings)
-        with self._waiting.turn() as has_turn:
-            if not has_turn:
+        with self._limiter.acquire() as acquired:
+            if not acquired:
                 return reply_too_many_waiting()
             report = self._port.in_force(revision, timeout_s)
         return Reply.of_json(report.to_json())
--- a/bamboovale/admin/submission.py
+++ b/bamboovale/admin/submission.py
@@ -43,13 +43,13 @@
         self._semaphore = threading.BoundedSemaphore(bound)
 
     @contextmanager
-    def turn(self) -> Iterator[bool]:
+    def acquire(self) -> Iterator[bool]:
         """Hold a turn for the length of the block; False if there was none."""
-        has_turn = self._semaphore.acquire(blocking=False)
+        acquired = self._semaphore.acquire(blocking=False)
         try:
-            yield has_turn
+            yield acquired
         finally:
-            if has_turn:
+            if acquired:
                 self._semaphore.release()
 
 
@@ -59,11 +59,11 @@
     def __init__(
         self,
         port: AdministrationPort,
-        waiting: WaitingCallLimiter,
+        limiter: WaitingCallLimiter,
         wall_clock: Callable[[], float],
     ) -> None:
         self._port = port
-        self._waiting = waiting
+        self._limiter = limiter
         self._wall_clock = wall_clock
 
     def submit(self, request: Request, changes: list[Change]) -> Reply:
@@ -84,8 +84,8 @@
         if findings:
             return reply_findings(findings)
         edit = Edit(edit_id, author, self._wall_clock(), tuple(changes))
-        with self._waiting.turn() as has_turn:
-            if not has_turn:
+        with self._limiter.acquire() as acquired:
+            if not acquired:
                 return reply_too_many_waiting()
             return self._submit_parts(edit)
 
--- a/tests/test_admin_app.py
+++ b/tests/test_admin_app.py
@@ -244,10 +244,10 @@
         # In an outage of the log every edit waits for its timeout. Operators who
         # repeat would hold all threads, and state and health would not answer.
         waiting = WaitingCallLimiter()
-        turns = [waiting.turn() for _ in range(MAX_WAITING_CALLS)]
+        turns = [waiting.acquire() for _ in range(MAX_WAITING_CALLS)]
         assert all(turn.__enter__() for turn in turns)
-        with waiting.turn() as has_turn:
-            assert not has_turn
+        with waiting.acquire() as acquired:
+            assert not acquired
         turns[0].__exit__(None, None, None)
-        with waiting.turn() as has_turn:
-            assert has_turn
+        with waiting.acquire() as acquired:
+            assert acquired
