--- a/bamboovale/entry/attempts.py
+++ b/bamboovale/entry/attempts.py
@@ -39,9 +39,9 @@
     fingerprint: str
     excluded: set[str] = field(default_factory=set)
     refusals: int = 0
-    unloadable: Refusal | None = None
-    unanswered: bool = False
-    bounces: int = 0
+    load_refusal: Refusal | None = None
+    holder_missing: bool = False
+    unstarted_runs: int = 0
     runs: int = 0
     exclusive: bool = False
 
--- a/bamboovale/entry/decision_facade.py
+++ b/bamboovale/entry/decision_facade.py
@@ -112,12 +112,12 @@
                 self._retries.on_fresh(now)
             return refusal
 
-    def done(self, request_id: str) -> None:
+    def release(self, request_id: str) -> None:
         """Free what a request held."""
         with self._lock:
             self._admission.on_done(request_id)
 
-    def may_repeat(self) -> bool:
+    def may_retry(self) -> bool:
         """Take one repeat from the budget."""
         with self._lock:
             return self._retries.take(self._now())
--- a/bamboovale/entry/model_requests.py
+++ b/bamboovale/entry/model_requests.py
@@ -55,10 +55,10 @@
 MAX_RUNS = 3
 """Runs of one request at most, whatever the retry budget would allow."""
 
-BOUNCE_PAUSE_S = 0.02
+UNSTARTED_RUN_BACKOFF_S = 0.02
 """Grows with each; ten of them give a holder a second to see a restarted engine."""
 
-MAX_BOUNCES = 10
+MAX_UNSTARTED_RUNS = 10
 """Permits whose run did not begin (adapter gone, no connection, send-by past)."""
 
 
@@ -231,11 +231,11 @@
             return None
         attempts.excluded.add(engine_id)
         if isinstance(answer, TryAnotherEngine):
-            attempts.unanswered = True
+            attempts.holder_missing = True
             return None
         if answer.code is ErrorCode.LOG_UNAVAILABLE:
             # It cannot be loaded there now; another engine may have it loaded.
-            attempts.unloadable = answer
+            attempts.load_refusal = answer
             return None
         attempts.refusals += 1
         if attempts.refusals >= MAX_REFUSALS:
@@ -292,9 +292,9 @@
         if attempts.disconnect.disconnected:
             raise CallerDisconnectedError
         # An engine whose lease is moving may have the adapter loaded: look again.
-        looked_long_enough = not attempts.unanswered or now >= give_up_at
-        if attempts.unloadable is not None and looked_long_enough:
-            raise FinalRefusalError(attempts.unloadable)
+        looked_long_enough = not attempts.holder_missing or now >= give_up_at
+        if attempts.load_refusal is not None and looked_long_enough:
+            raise FinalRefusalError(attempts.load_refusal)
         if now >= give_up_at:
             raise FinalRefusalError(
                 Refusal(
@@ -305,7 +305,7 @@
                 )
             )
         attempts.excluded.clear()
-        attempts.unanswered = False
+        attempts.holder_missing = False
         time.sleep(PAUSE_S)
 
     # Failures of runs.
@@ -323,7 +323,7 @@
         if failed.failure is RunFailure.REJECTED:
             raise FinalRefusalError(rejection(failed))
         if failed.not_run:
-            self._count_bounce(attempts, held, failed)
+            self._count_unstarted_run(attempts, held, failed)
             return
         attempts.runs += 1
         crashed = self._crash_reporter.report(
@@ -340,24 +340,24 @@
         if (
             suspect_failed
             or attempts.runs >= MAX_RUNS
-            or not self._decisions.may_repeat()
+            or not self._decisions.may_retry()
         ):
             raise FinalRefusalError(endpoint_error(failed))
         self._environment.metrics.retries.inc()
         attempts.excluded.add(held.permit.engine_id)
 
-    def _count_bounce(
+    def _count_unstarted_run(
         self,
         attempts: Attempts,
         held: HeldPermit,
         failed: RunFailedError,
     ) -> None:
         """Go on after a run that did not begin, a bounded number of times."""
-        attempts.bounces += 1
-        time.sleep(attempts.bounces * BOUNCE_PAUSE_S)
+        attempts.unstarted_runs += 1
+        time.sleep(attempts.unstarted_runs * UNSTARTED_RUN_BACKOFF_S)
         if failed.failure is RunFailure.NOT_SENT:
             attempts.excluded.add(held.permit.engine_id)
-        if attempts.bounces > MAX_BOUNCES:
+        if attempts.unstarted_runs > MAX_UNSTARTED_RUNS:
             raise FinalRefusalError(
                 Refusal(
                     ErrorCode.NO_ENDPOINT,
--- a/bamboovale/entry/request_lifecycle.py
+++ b/bamboovale/entry/request_lifecycle.py
@@ -53,7 +53,7 @@
         if refusal is not None:
             return CallerAnswer.refusal(refusal, request.request_id)
         with contextlib.ExitStack() as stack:
-            stack.callback(self._decisions.done, attempt_id)
+            stack.callback(self._decisions.release, attempt_id)
             if request.key is None:
                 answer = run()
             else:
--- a/bamboovale/entry/service_calls.py
+++ b/bamboovale/entry/service_calls.py
@@ -222,7 +222,7 @@
                 f"the call was sent and its answer is lost ({reason})",
                 not_run=False,
             )
-        if call.tries < MAX_TRIES and self._decisions.may_repeat():
+        if call.tries < MAX_TRIES and self._decisions.may_retry():
             self._environment.metrics.retries.inc()
             return None
         return Refusal(
--- a/tests/test_model_requests.py
+++ b/tests/test_model_requests.py
@@ -62,7 +62,7 @@
             return "g1"
         return next((name for name in self.engines if name not in excluded), None)
 
-    def may_repeat(self) -> bool:
+    def may_retry(self) -> bool:
         return True
 
     # The permits.
