--- a/bamboovale/entry/engine_holders.py
+++ b/bamboovale/entry/engine_holders.py
@@ -24,7 +24,7 @@
     VersionChanged,
 )
 from bamboovale.engines.orders import LeasedOrders
-from bamboovale.entry.state_dump import ask
+from bamboovale.entry.state_dump import ask_actor
 from bamboovale.environment import Environment
 from bamboovale.views import Views
 
@@ -166,7 +166,7 @@
     def dump(self) -> dict[str, Any]:
         """Return the state of every holder."""
         return {
-            engine_id: ask(holder, DumpState())
+            engine_id: ask_actor(holder, DumpState())
             for engine_id, holder in sorted(self._holder_by_engine.items())
         }
 
--- a/bamboovale/entry/model_runs.py
+++ b/bamboovale/entry/model_runs.py
@@ -67,61 +67,61 @@
 
     def run(
         self,
-        order: RunSpec,
+        spec: RunSpec,
         request: CallerRequest,
         disconnect: DisconnectSignal,
     ) -> CallerAnswer:
         """Return the answer, or raise RunFailedError if there is none to pass on."""
         with contextlib.ExitStack() as stack:
-            stack.callback(self._permits.release, order.held)
-            run = self._open(order)
+            stack.callback(self._permits.release, spec.held)
+            run = self._open(spec)
             stack.callback(run.abandon)
             disconnect.on_disconnect(run.exchange.abort)
-            if not self._permits.may_still_send(order.held):
+            if not self._permits.may_still_send(spec.held):
                 raise RunFailedError(RunFailure.NOT_SENT, "the permit came too late")
             self._environment.metrics.attempts.inc()
-            response = self._send(run, order)
-            headers = self._headers(order, request)
-            if order.call.stream:
-                return self._stream(order, run, response, headers, stack)
+            response = self._send(run, spec)
+            headers = self._headers(spec, request)
+            if spec.call.stream:
+                return self._stream(spec, run, response, headers, stack)
             body = run.read_answer(response)
-        self._decisions.on_answered(order.fingerprint)
+        self._decisions.on_answered(spec.fingerprint)
         return CallerAnswer.complete(200, [JSON_TYPE, *headers], body)
 
-    def _send(self, run: EngineRun, order: RunSpec) -> BaseHTTPResponse:
+    def _send(self, run: EngineRun, spec: RunSpec) -> BaseHTTPResponse:
         try:
-            return run.send(order.call.path, self._body(order))
+            return run.send(spec.call.path, self._body(spec))
         except RunFailedError as failed:
             if failed.failure is RunFailure.REFUSED:
-                self._permits.release(order.held, refused=True)
+                self._permits.release(spec.held, refused=True)
             raise
 
-    def _open(self, order: RunSpec) -> EngineRun:
-        target = self._target(order)
-        return EngineRun(self._connections, target, fresh=not order.idempotent)
+    def _open(self, spec: RunSpec) -> EngineRun:
+        target = self._target(spec)
+        return EngineRun(self._connections, target, fresh=not spec.idempotent)
 
-    def _target(self, order: RunSpec) -> RunTarget:
-        permit = order.held.permit
+    def _target(self, spec: RunSpec) -> RunTarget:
+        permit = spec.held.permit
         address = self._views.membership.address_of(permit.engine_id, "http")
         if address is None:
             raise RunFailedError(RunFailure.NOT_SENT, "the engine is no longer listed")
-        return RunTarget(address, order.attempt_id, permit.lora_name)
+        return RunTarget(address, spec.attempt_id, permit.lora_name)
 
-    def _body(self, order: RunSpec) -> bytes:
-        permit = order.held.permit
-        return order.call.body_for(permit.lora_name, order.max_tokens, permit.priority)
+    def _body(self, spec: RunSpec) -> bytes:
+        permit = spec.held.permit
+        return spec.call.body_for(permit.lora_name, spec.max_tokens, permit.priority)
 
     def _headers(
         self,
-        order: RunSpec,
+        spec: RunSpec,
         request: CallerRequest,
     ) -> list[tuple[str, str]]:
         catalogue = self._views.catalogue
         revision = 0 if catalogue is None else catalogue.revision
         return [
             ("X-Request-Id", request.request_id),
-            ("X-Adapter", order.held.permit.lora_name),
-            ("X-Endpoint", order.held.permit.engine_id),
+            ("X-Adapter", spec.held.permit.lora_name),
+            ("X-Endpoint", spec.held.permit.engine_id),
             ("X-Entry", self._environment.settings.id),
             ("X-Catalogue-Revision", str(revision)),
         ]
@@ -130,7 +130,7 @@
 
     def _stream(
         self,
-        order: RunSpec,
+        spec: RunSpec,
         run: EngineRun,
         response: BaseHTTPResponse,
         headers: list[tuple[str, str]],
@@ -144,7 +144,7 @@
         events = run.read_events(response)
         first = next(events, None)
         outcome = AnswerOutcome()
-        chunks = self._pass_on(order, first, events, outcome)
+        chunks = self._pass_on(spec, first, events, outcome)
         held = stack.pop_all()
         return CallerAnswer(
             200,
@@ -155,7 +155,7 @@
 
     def _pass_on(
         self,
-        order: RunSpec,
+        spec: RunSpec,
         first: bytes | None,
         events: Iterator[bytes],
         outcome: AnswerOutcome,
@@ -169,27 +169,27 @@
                 yield event
                 passed += 1
         except RunFailedError:
-            if not (yield from self._resume(order, passed)):
+            if not (yield from self._resume(spec, passed)):
                 outcome.state = AnswerState.UNKNOWN
                 outcome.code = ErrorCode.OUTCOME_UNKNOWN.value
-                yield _error_event(order)
+                yield _error_event(spec)
                 return
         outcome.state = AnswerState.ANSWERED
-        self._decisions.on_answered(order.fingerprint)
+        self._decisions.on_answered(spec.fingerprint)
         yield DONE_EVENT + EVENT_END
 
     def _resume(
         self,
-        order: RunSpec,
+        spec: RunSpec,
         offset: int,
     ) -> Generator[bytes, None, bool]:
         """Read a broken stream on from where it broke; tell whether it ended whole.
 
         The engine still runs the request if only the connection broke.
         """
-        body = {"request_id": order.attempt_id, "offset": offset}
+        body = {"request_id": spec.attempt_id, "offset": offset}
         try:
-            run = EngineRun(self._connections, self._target(order), fresh=True)
+            run = EngineRun(self._connections, self._target(spec), fresh=True)
         except RunFailedError:
             return False
         try:
@@ -202,12 +202,12 @@
         return True
 
 
-def _error_event(order: RunSpec) -> bytes:
+def _error_event(spec: RunSpec) -> bytes:
     """Return the event that ends a stream which cannot be completed."""
     refusal = Refusal(
         ErrorCode.OUTCOME_UNKNOWN,
         "the engine broke off; what came so far is not the whole answer",
         not_run=False,
     )
-    data = json.dumps(refusal.to_json(order.attempt_id.rpartition(".")[0]))
+    data = json.dumps(refusal.to_json(spec.attempt_id.rpartition(".")[0]))
     return b"data: " + data.encode() + EVENT_END
--- a/bamboovale/entry/permits.py
+++ b/bamboovale/entry/permits.py
@@ -22,7 +22,7 @@
     PermitReply,
 )
 
-ASKS_PER_SEND_WITHIN = 3
+REQUESTS_PER_SEND_WINDOW = 3
 """Repeats of an ask within the time that a permit may be used: two may be lost."""
 
 GRACE_S = 0.5
@@ -78,7 +78,9 @@
     send_by: float
 
 
-Answer = HeldPermit | Refusal | TryAnotherEngine | CallerDisconnected | VersionOutdated
+AcquireResult = (
+    HeldPermit | Refusal | TryAnotherEngine | CallerDisconnected | VersionOutdated
+)
 
 
 class DisconnectSignal:
@@ -116,14 +118,14 @@
         item: WorkItem,
         engine_id: str,
         disconnect: DisconnectSignal,
-        still_wanted: Callable[[], bool],
-    ) -> Answer:
-        """Wait for a place on the engine, while the version is ``still_wanted``."""
+        is_current: Callable[[], bool],
+    ) -> AcquireResult:
+        """Wait for a place on the engine, while the version is ``is_current``."""
         holder = self._links.holder_of(engine_id)
         if holder is None:
             return TryAnotherEngine("the engine has no lease holder", retry_after_s=1.0)
-        wait = _Wait(self._environment, self._links, item, engine_id, holder)
-        return wait.run(disconnect, still_wanted, self._keep)
+        wait = _PermitWait(self._environment, self._links, item, engine_id, holder)
+        return wait.run(disconnect, is_current, self._keep)
 
     def release(self, held: HeldPermit, *, refused: bool = False) -> None:
         """Tell the holder that the run is over or never happened.
@@ -163,7 +165,7 @@
             self._held_by_id[held.permit.permit_id] = held
 
 
-class _Wait:
+class _PermitWait:
     """One wait at one holder."""
 
     def __init__(
@@ -175,20 +177,20 @@
         holder: str,
     ) -> None:
         self._now = environment.now
-        self._repeat_s = environment.settings.send_within_s / ASKS_PER_SEND_WITHIN
+        self._repeat_s = environment.settings.send_within_s / REQUESTS_PER_SEND_WINDOW
         self._links = links
         self._item = item
         self._engine_id = engine_id
         self._holder = holder
-        self._asked_at_by_number: dict[int, float] = {}
+        self._sent_at_by_number: dict[int, float] = {}
         self._mailbox: queue.SimpleQueue[Any] = queue.SimpleQueue()
 
     def run(
         self,
         disconnect: DisconnectSignal,
-        still_wanted: Callable[[], bool],
+        is_current: Callable[[], bool],
         keep: Callable[[HeldPermit], None],
-    ) -> Answer:
+    ) -> AcquireResult:
         """Ask, repeat the ask while waiting, and settle how the wait ends."""
         disconnect.on_disconnect(lambda: self._mailbox.put(CallerDisconnected()))
         future = self._ask()
@@ -197,7 +199,7 @@
             try:
                 event = self._mailbox.get(timeout=self._repeat_s)
             except queue.Empty:
-                ending = self._repeat_or_end(still_wanted)
+                ending = self._repeat_or_end(is_current)
                 if ending is None:
                     continue
                 self._give_up(future)
@@ -216,8 +218,8 @@
         )
 
     def _message(self, left_s: float) -> PermitAsk:
-        number = len(self._asked_at_by_number) + 1
-        self._asked_at_by_number[number] = self._now()
+        number = len(self._sent_at_by_number) + 1
+        self._sent_at_by_number[number] = self._now()
         item = self._item
         return PermitAsk(
             engine_id=self._engine_id,
@@ -235,9 +237,9 @@
             exclusive=item.exclusive,
         )
 
-    def _repeat_or_end(self, still_wanted: Callable[[], bool]) -> Answer | None:
+    def _repeat_or_end(self, is_current: Callable[[], bool]) -> AcquireResult | None:
         now = self._now()
-        if not still_wanted():
+        if not is_current():
             return VersionOutdated()
         if now > self._item.latest_start + GRACE_S:
             return Refusal(
@@ -256,7 +258,7 @@
         self,
         future: "Future[Any]",
         keep: Callable[[HeldPermit], None],
-    ) -> Answer:
+    ) -> AcquireResult:
         error = future.exception()
         if error is not None:
             self._cancel()
@@ -279,7 +281,7 @@
         This VM may have been paused while the permit lay in its socket: counted from
         now, a permit given up on long ago would look fresh.
         """
-        asked_at = self._asked_at_by_number.get(permit.ask_number, float("-inf"))
+        asked_at = self._sent_at_by_number.get(permit.ask_number, float("-inf"))
         return HeldPermit(permit, self._holder, asked_at + permit.send_within_s)
 
     def _cancel(self) -> None:
--- a/bamboovale/entry/state_dump.py
+++ b/bamboovale/entry/state_dump.py
@@ -36,7 +36,7 @@
         """Return the whole state."""
         parts: dict[str, Any] = {"process": self._process()}
         for name, (actor, question) in self._question_by_name.items():
-            parts[name] = ask(actor, question)
+            parts[name] = ask_actor(actor, question)
         for name, read in self._read_by_name.items():
             parts[name] = read()
         return parts
@@ -53,7 +53,7 @@
         }
 
 
-def ask(actor: pykka.ActorRef, question: Any) -> Any:
+def ask_actor(actor: pykka.ActorRef, question: Any) -> Any:
     """Ask an actor, or say why it has no answer."""
     try:
         return actor.ask(question, timeout=ASK_TIMEOUT_S)
