--- a/bamboovale/entry/request_gate.py
+++ b/bamboovale/entry/request_gate.py
@@ -84,7 +84,7 @@
         self._epoll = select.epoll()
         self._lock = threading.Lock()
         # In the order of their coming, so the first is the oldest.
-        self._waiting_by_descriptor: dict[int, Waiting] = {}
+        self._waiting_by_descriptor: dict[int, WaitingConnection] = {}
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, name="gate", daemon=True)
 
