--- a/bamboovale/engines/holder.py
+++ b/bamboovale/engines/holder.py
@@ -26,18 +26,18 @@
 )
 from bamboovale.engines.client import EngineAddress
 from bamboovale.engines.messages import (
-    AskReceived,
     CancelReceived,
     DumpState,
+    EngineLeaving,
     EntryVMGone,
-    LeavingSeen,
+    LoadGrantReceived,
+    PermitRequestReceived,
     PermitsReported,
     ReleaseReceived,
-    TurnGiven,
     VersionChanged,
     ViewRead,
 )
-from bamboovale.engines.orders import LeasedOrders, OrderEnded
+from bamboovale.engines.orders import LeasedOrders, OrderCompleted
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
 from bamboovale.models import AdapterVersion, WorkClass
@@ -54,20 +54,20 @@
 """One reads the state while two loads run, the store's full-speed number."""
 
 
-class LoadTurns(Protocol):
-    """Turns at the weight store, wherever their scheduler is."""
+class LoadGrants(Protocol):
+    """Grants at the weight store, wherever their scheduler is."""
 
-    def ask(self, engine_id: str, lora_name: str, weight: float) -> None:
-        """Ask for a turn; :class:`TurnGiven` answers."""
+    def request(self, engine_id: str, lora_name: str, weight: float) -> None:
+        """Ask for a grant; :class:`LoadGrantReceived` answers."""
         ...
 
-    def end(self, turn: LoadGrantReply, *, used: bool, loaded: bool) -> None:
-        """Give a turn back."""
+    def release(self, grant: LoadGrantReply, *, used: bool, loaded: bool) -> None:
+        """Give a grant back."""
         ...
 
 
 @dataclass
-class QueuedAsk:
+class WaitingRequest:
     """An ask that waits: the last time its entry VM showed that it still waits.
 
     ``stalled_since`` is when it came, if its adapter was not loaded then.
@@ -75,7 +75,7 @@
 
     entry_vm: str
     ask_number: int
-    heard_at: float
+    last_seen_at: float
     reply: Callable[[PermitReply], None]
     stalled_since: float | None = None
 
@@ -90,7 +90,7 @@
         config: DispatchConfig,
         policy: Policy,
         orders: LeasedOrders,
-        load_turns: LoadTurns,
+        load_grants: LoadGrants,
         on_hint: Callable[[EngineHint], None],
         log_is_down: Callable[[], bool],
     ) -> None:
@@ -100,11 +100,11 @@
         self._config = config
         self._dispatch = EngineDispatch.from_config(config, policy)
         self._orders = orders
-        self._load_turns = load_turns
-        self._turns: deque[LoadGrantReply] = deque()
+        self._load_grants = load_grants
+        self._grants: deque[LoadGrantReply] = deque()
         self._on_hint = on_hint
         self._log_is_down = log_is_down
-        self._queued_by_id: dict[str, QueuedAsk] = {}
+        self._queued_by_id: dict[str, WaitingRequest] = {}
         self._source_by_lora_name: dict[str, str] = {}
         self._executor = ThreadPoolExecutor(
             ORDER_THREADS,
@@ -119,15 +119,15 @@
 
     def _register_handlers(self) -> None:
         self.handle(Tick, self._on_tick)
-        self.handle(AskReceived, self._on_ask)
+        self.handle(PermitRequestReceived, self._on_request)
         self.handle(CancelReceived, self._on_cancel)
         self.handle(ReleaseReceived, self._on_release)
         self.handle(EntryVMGone, self._on_entry_vm_gone)
         self.handle(PermitsReported, self._on_permits_reported)
         self.handle(ViewRead, self._on_view)
-        self.handle(OrderEnded, self._on_order_ended)
-        self.handle(TurnGiven, self._on_turn)
-        self.handle(LeavingSeen, self._on_leaving)
+        self.handle(OrderCompleted, self._on_order_ended)
+        self.handle(LoadGrantReceived, self._on_load_grant)
+        self.handle(EngineLeaving, self._on_leaving)
         self.handle(VersionChanged, self._on_version_changed)
         self.handle(DumpState, self._on_dump)
 
@@ -157,29 +157,29 @@
 
     # Asks of entry VMs.
 
-    def _on_ask(self, received: AskReceived) -> None:
-        ask = received.ask
-        queued = self._queued_by_id.get(ask.request_id)
+    def _on_request(self, received: PermitRequestReceived) -> None:
+        request = received.request
+        queued = self._queued_by_id.get(request.request_id)
         if queued is not None:
-            queued.ask_number = max(queued.ask_number, ask.ask_number)
-            queued.heard_at = self._now()
+            queued.ask_number = max(queued.ask_number, request.ask_number)
+            queued.last_seen_at = self._now()
             return
         if received.reply is None:
             return  # a repeat that crossed our answer
         if self._is_unreachable():
-            received.reply(_elsewhere(ask.request_id, "the engine does not answer"))
+            received.reply(_elsewhere(request.request_id, "the engine does not answer"))
             return
         now = self._now()
-        self._queued_by_id[ask.request_id] = QueuedAsk(
+        self._queued_by_id[request.request_id] = WaitingRequest(
             entry_vm=received.from_vm,
-            ask_number=ask.ask_number,
-            heard_at=now,
+            ask_number=request.ask_number,
+            last_seen_at=now,
             reply=received.reply,
         )
-        item = _work_item(ask, received.from_vm, now)
+        item = _work_item(request, received.from_vm, now)
         if item.target.lora_name not in self._dispatch.hint(now).loaded:
-            self._queued_by_id[ask.request_id].stalled_since = now
-        self._source_by_lora_name[item.target.lora_name] = ask.source
+            self._queued_by_id[request.request_id].stalled_since = now
+        self._source_by_lora_name[item.target.lora_name] = request.source
         self._carry_out(self._dispatch.on_request(item, now))
 
     def _on_cancel(self, message: CancelReceived) -> None:
@@ -211,7 +211,7 @@
         """Drop asks whose entry VM stopped repeating them: it died or gave up."""
         silent_since = now - self._config.send_within_s
         for request_id, queued in list(self._queued_by_id.items()):
-            if queued.heard_at < silent_since:
+            if queued.last_seen_at < silent_since:
                 self._drop(request_id)
                 self._carry_out(self._dispatch.on_cancel(request_id, now))
 
@@ -241,7 +241,7 @@
 
     def _on_tick(self, _: Tick) -> None:
         now = self._now()
-        valid = self._orders.allowed()
+        valid = self._orders.lease_valid()
         self._carry_out(self._dispatch.set_may_order(valid, now))
         self._carry_out(self._dispatch.set_may_grant(self._may_grant(), now))
         self._drop_silent_asks(now)
@@ -278,11 +278,11 @@
             self._boot_id = view.boot_id
         self._carry_out(self._dispatch.on_engine_view(view, self._now()))
 
-    def _on_order_ended(self, ended: OrderEnded) -> None:
+    def _on_order_ended(self, ended: OrderCompleted) -> None:
         now = self._now()
         name = ended.lora_name
         if ended.order is Load:
-            self._end_turn(used=ended.given, loaded=ended.succeeded)
+            self._release_grant(used=ended.sent, loaded=ended.succeeded)
             if ended.succeeded:
                 self._carry_out(self._dispatch.on_loaded(name, now))
             else:
@@ -290,23 +290,23 @@
         elif ended.succeeded:
             self._carry_out(self._dispatch.on_unloaded(name, now))
         else:
-            self._end_turn(used=False, loaded=False)
+            self._release_grant(used=False, loaded=False)
             self._carry_out(self._dispatch.on_unload_failed(name, now))
         if not ended.succeeded:
             self._read_view()
 
-    def _on_turn(self, message: TurnGiven) -> None:
-        """Use a turn; it may go to another adapter than it was asked for."""
-        self._turns.append(message.turn)
-        name = message.turn.lora_name
+    def _on_load_grant(self, message: LoadGrantReceived) -> None:
+        """Use a grant; it may go to another adapter than it was asked for."""
+        self._grants.append(message.grant)
+        name = message.grant.lora_name
         self._carry_out(self._dispatch.on_load_grant(name, self._now()))
 
-    def _end_turn(self, *, used: bool, loaded: bool) -> None:
-        if self._turns:
-            turn = self._turns.popleft()
-            self._load_turns.end(turn, used=used, loaded=loaded)
+    def _release_grant(self, *, used: bool, loaded: bool) -> None:
+        if self._grants:
+            grant = self._grants.popleft()
+            self._load_grants.release(grant, used=used, loaded=loaded)
 
-    def _on_leaving(self, _: LeavingSeen) -> None:
+    def _on_leaving(self, _: EngineLeaving) -> None:
         self._carry_out(self._dispatch.set_leaving(self._now()))
 
     def _on_version_changed(self, message: VersionChanged) -> None:
@@ -331,9 +331,11 @@
             elif isinstance(action, Refuse):
                 self._refuse(action.request_id, action.refusal)
             elif isinstance(action, RequestLoadGrant):
-                self._load_turns.ask(self._engine.id, action.lora_name, action.weight)
+                self._load_grants.request(
+                    self._engine.id, action.lora_name, action.weight
+                )
             elif isinstance(action, ReturnLoadGrant):
-                self._end_turn(used=False, loaded=False)
+                self._release_grant(used=False, loaded=False)
             else:
                 self._executor.submit(self._orders.carry_out, self.actor_ref, action)
 
@@ -344,7 +346,7 @@
         if queued is None:
             self._take_back(permit)
             return
-        silent = queued.heard_at < now - self._config.send_within_s
+        silent = queued.last_seen_at < now - self._config.send_within_s
         if silent or not self._may_grant():
             self._take_back(permit)
             queued.reply(_elsewhere(permit.request_id, "no place can be granted now"))
@@ -362,7 +364,7 @@
 
     def _may_grant(self) -> bool:
         """Look at the clock itself: the VM may have been paused since its last tick."""
-        return self._orders.allowed() or self._log_is_down()
+        return self._orders.lease_valid() or self._log_is_down()
 
     def _refuse(self, request_id: str, refusal: Refusal) -> None:
         queued = self._queued_by_id.pop(request_id, None)
@@ -380,20 +382,20 @@
         )
 
 
-def _work_item(ask: PermitRequest, entry_vm: str, now: float) -> WorkItem:
+def _work_item(request: PermitRequest, entry_vm: str, now: float) -> WorkItem:
     return WorkItem(
-        request_id=ask.request_id,
+        request_id=request.request_id,
         entry_vm=entry_vm,
-        target=AdapterVersion(ask.adapter, ask.version),
-        source=ask.source,
-        work_class=WorkClass(ask.work_class),
-        customer=ask.customer,
+        target=AdapterVersion(request.adapter, request.version),
+        source=request.source,
+        work_class=WorkClass(request.work_class),
+        customer=request.customer,
         arrived_at=now,
-        latest_start=now + ask.starts_within_s,
-        max_tokens=ask.max_tokens,
-        size_bytes=ask.size_bytes,
-        fingerprint=ask.fingerprint,
-        exclusive=ask.exclusive,
+        latest_start=now + request.starts_within_s,
+        max_tokens=request.max_tokens,
+        size_bytes=request.size_bytes,
+        fingerprint=request.fingerprint,
+        exclusive=request.exclusive,
     )
 
 
--- a/bamboovale/engines/turn_routes.py
+++ b/bamboovale/engines/load_grant_router.py
@@ -1,13 +1,13 @@
-"""The way of a turn at the weight store between its scheduler and a holder here."""
+"""The way of a grant at the weight store between its scheduler and a holder here."""
 
 from typing import Any, Protocol
 
 import pykka
 
 from bamboovale.actors import tell
-from bamboovale.engines.load_turns import TurnAsked, TurnEnded
+from bamboovale.engines.load_grants import LoadReleaseReceived, LoadRequestReceived
 from bamboovale.engines.messages import (
-    TurnGiven,
+    LoadGrantReceived,
 )
 from bamboovale.peers.messages import LoadGrantRelease, LoadGrantReply, LoadGrantRequest
 
@@ -28,8 +28,8 @@
         ...
 
 
-class TurnRoutes:
-    """Implements the holders' :class:`~bamboovale.engines.holder.LoadTurns`."""
+class LoadGrantRouter:
+    """Implements the holders' :class:`~bamboovale.engines.holder.LoadGrants`."""
 
     def __init__(self, own_id: str, links: Notifier, holders: HolderFinder) -> None:
         self._own_id = own_id
@@ -41,25 +41,25 @@
         """Send asks to this keeper, which finds the scheduler or is it."""
         self._keeper = keeper
 
-    def ask(self, engine_id: str, lora_name: str, weight: float) -> None:
-        """Ask for a turn on behalf of a holder here."""
+    def request(self, engine_id: str, lora_name: str, weight: float) -> None:
+        """Ask for a grant on behalf of a holder here."""
         ask = LoadGrantRequest(engine_id, lora_name, weight)
         if self._keeper is not None:
-            tell(self._keeper, TurnAsked(self._own_id, ask))
+            tell(self._keeper, LoadRequestReceived(self._own_id, ask))
 
-    def end(self, turn: LoadGrantReply, *, used: bool, loaded: bool) -> None:
-        """Give a turn back to the scheduler that gave it."""
-        ended = LoadGrantRelease(turn.scheduler, turn.number, used, loaded)
-        vm_id = turn.scheduler.rpartition(":")[0]
+    def release(self, grant: LoadGrantReply, *, used: bool, loaded: bool) -> None:
+        """Give a grant back to the scheduler that gave it."""
+        ended = LoadGrantRelease(grant.scheduler, grant.number, used, loaded)
+        vm_id = grant.scheduler.rpartition(":")[0]
         if vm_id != self._own_id:
             self._links.notify(vm_id, ended)
         elif self._keeper is not None:
-            tell(self._keeper, TurnEnded(ended))
+            tell(self._keeper, LoadReleaseReceived(ended))
 
-    def give(self, turn: LoadGrantReply) -> None:
-        """Hand a turn to the holder here; back if the engine is not held here."""
-        holder = self._holders.find(turn.engine_id)
+    def deliver(self, grant: LoadGrantReply) -> None:
+        """Hand a grant to the holder here; back if the engine is not held here."""
+        holder = self._holders.find(grant.engine_id)
         if holder is None:
-            self.end(turn, used=False, loaded=False)
+            self.release(grant, used=False, loaded=False)
         else:
-            tell(holder, TurnGiven(turn))
+            tell(holder, LoadGrantReceived(grant))
--- a/bamboovale/engines/load_turns.py
+++ b/bamboovale/engines/load_grants.py
@@ -1,4 +1,4 @@
-"""Turns at the weight store: finds their scheduler, or is it."""
+"""Grants at the weight store: finds their scheduler, or is it."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,18 +13,18 @@
 
 
 @dataclass(frozen=True)
-class TurnAsked:
-    """A holder, here or on the VM named, wants a turn."""
+class LoadRequestReceived:
+    """A holder, here or on the VM named, wants a grant."""
 
     from_vm: str
-    ask: LoadGrantRequest
+    request: LoadGrantRequest
 
 
 @dataclass(frozen=True)
-class TurnEnded:
-    """A turn is over."""
+class LoadReleaseReceived:
+    """A grant is over."""
 
-    ended: LoadGrantRelease
+    release: LoadGrantRelease
 
 
 @dataclass(frozen=True)
@@ -36,12 +36,12 @@
 
 
 @dataclass(frozen=True)
-class DumpLoadTurns:
+class DumpLoadGrants:
     """Ask for the state as JSON."""
 
 
-class LoadTurnKeeper(MessageActor):
-    """Schedules turns for all entry VMs while it holds the weight store's lease.
+class LoadGrantKeeper(MessageActor):
+    """Schedules grants for all entry VMs while it holds the weight store's lease.
 
     Where no scheduler can be reached it gives this VM's holders a static share.
     """
@@ -51,14 +51,14 @@
         environment: Environment,
         views: Views,
         send: Callable[[str, Any], None],
-        give: Callable[[LoadGrantReply], None],
+        deliver_here: Callable[[LoadGrantReply], None],
     ) -> None:
         super().__init__(environment.metrics.internal_faults.inc)
         settings = environment.settings
         self._environment = environment
         self._views = views
         self._send = send
-        self._give = give
+        self._deliver_here = deliver_here
         self._own_id = settings.id
         self._config = LoadConfig(
             rate_per_s=settings.weight_loads_per_s,
@@ -71,11 +71,11 @@
         self._vm_by_engine: dict[str, str] = {}
         self._share = LoadScheduler.static_share(self._config, 1)
         self._share_of = 1
-        self.handle(TurnAsked, self._on_asked)
-        self.handle(TurnEnded, self._on_ended)
+        self.handle(LoadRequestReceived, self._on_request)
+        self.handle(LoadReleaseReceived, self._on_release)
         self.handle(SchedulerLeaseChanged, self._on_lease)
         self.handle(Tick, self._on_tick)
-        self.handle(DumpLoadTurns, self._on_dump)
+        self.handle(DumpLoadGrants, self._on_dump)
 
     def _on_lease(self, message: SchedulerLeaseChanged) -> None:
         self._scheduler = None
@@ -85,36 +85,38 @@
             self._scheduler = LoadScheduler.from_config(self._config)
             self._scheduler_name = f"{self._own_id}:{message.fencing}"
 
-    def _on_asked(self, message: TurnAsked) -> None:
-        ask = message.ask
+    def _on_request(self, message: LoadRequestReceived) -> None:
+        request = message.request
         now = self._environment.now()
         if self._scheduler is not None and self._valid():
-            key = (ask.engine_id, ask.lora_name, ask.weight)
-            turns = self._scheduler.on_request(*key, now)
-            self._vm_by_engine[ask.engine_id] = message.from_vm
-            self._deliver(turns)
+            key = (request.engine_id, request.lora_name, request.weight)
+            grants = self._scheduler.on_request(*key, now)
+            self._vm_by_engine[request.engine_id] = message.from_vm
+            self._deliver(grants)
         elif message.from_vm == self._own_id:
-            self._ask_elsewhere(ask, now)
+            self._request_elsewhere(request, now)
 
-    def _ask_elsewhere(self, ask: LoadGrantRequest, now: float) -> None:
+    def _request_elsewhere(self, request: LoadGrantRequest, now: float) -> None:
         scheduler = self._views.holder_of(WEIGHT_STORE)
         usable = {vm.id for vm in self._views.membership.usable_entry_vms()}
         if scheduler in usable and scheduler != self._own_id:
-            self._send(scheduler, ask)
+            self._send(scheduler, request)
             return
         if len(usable) != self._share_of:
             self._share_of = len(usable)
             self._share = LoadScheduler.static_share(self._config, self._share_of)
-        turns = self._share.on_request(ask.engine_id, ask.lora_name, ask.weight, now)
-        self._deliver_share(turns)
+        grants = self._share.on_request(
+            request.engine_id, request.lora_name, request.weight, now
+        )
+        self._deliver_share(grants)
 
-    def _on_ended(self, message: TurnEnded) -> None:
-        ended = message.ended
+    def _on_release(self, message: LoadReleaseReceived) -> None:
+        release = message.release
         now = self._environment.now()
-        if ended.scheduler == self._share_name:
-            self._deliver_share(_end(self._share, ended, now))
-        elif ended.scheduler == self._scheduler_name and self._scheduler is not None:
-            self._deliver(_end(self._scheduler, ended, now))
+        if release.scheduler == self._share_name:
+            self._deliver_share(_end(self._share, release, now))
+        elif release.scheduler == self._scheduler_name and self._scheduler is not None:
+            self._deliver(_end(self._scheduler, release, now))
 
     def _on_tick(self, _: Tick) -> None:
         now = self._environment.now()
@@ -126,32 +128,32 @@
     def _share_name(self) -> str:
         return f"{self._own_id}:share"
 
-    def _deliver(self, turns: list[LoadGrant]) -> None:
-        for turn in turns:
+    def _deliver(self, grants: list[LoadGrant]) -> None:
+        for grant in grants:
             given = LoadGrantReply(
-                turn.engine_id,
-                turn.lora_name,
+                grant.engine_id,
+                grant.lora_name,
                 self._scheduler_name,
-                turn.number,
+                grant.number,
             )
-            vm_id = self._vm_by_engine.get(turn.engine_id, self._own_id)
+            vm_id = self._vm_by_engine.get(grant.engine_id, self._own_id)
             if vm_id == self._own_id:
-                self._give(given)
+                self._deliver_here(given)
             else:
                 self._send(vm_id, given)
 
-    def _deliver_share(self, turns: list[LoadGrant]) -> None:
-        for turn in turns:
-            self._give(
+    def _deliver_share(self, grants: list[LoadGrant]) -> None:
+        for grant in grants:
+            self._deliver_here(
                 LoadGrantReply(
-                    turn.engine_id,
-                    turn.lora_name,
+                    grant.engine_id,
+                    grant.lora_name,
                     self._share_name,
-                    turn.number,
+                    grant.number,
                 )
             )
 
-    def _on_dump(self, _: DumpLoadTurns) -> dict[str, Any]:
+    def _on_dump(self, _: DumpLoadGrants) -> dict[str, Any]:
         scheduler = self._scheduler
         return {
             "is_scheduler": scheduler is not None,
@@ -162,8 +164,8 @@
 
 
 def _end(
-    scheduler: LoadScheduler, ended: LoadGrantRelease, now: float
+    scheduler: LoadScheduler, release: LoadGrantRelease, now: float
 ) -> list[LoadGrant]:
-    if ended.used:
-        return scheduler.on_done(ended.number, now, loaded=ended.loaded)
-    return scheduler.on_returned(ended.number, now)
+    if release.used:
+        return scheduler.on_done(release.number, now, loaded=release.loaded)
+    return scheduler.on_returned(release.number, now)
--- a/bamboovale/engines/messages.py
+++ b/bamboovale/engines/messages.py
@@ -8,11 +8,11 @@
 
 
 @dataclass(frozen=True)
-class AskReceived:
+class PermitRequestReceived:
     """An ask with the way back to the entry VM that sent it."""
 
     from_vm: str
-    ask: PermitRequest
+    request: PermitRequest
     reply: Callable[[PermitReply], None] | None
 
 
@@ -53,14 +53,14 @@
 
 
 @dataclass(frozen=True)
-class TurnGiven:
+class LoadGrantReceived:
     """The load scheduler gave a turn for an adapter version."""
 
-    turn: LoadGrantReply
+    grant: LoadGrantReply
 
 
 @dataclass(frozen=True)
-class LeavingSeen:
+class EngineLeaving:
     """The VM list shows the engine as leaving."""
 
 
--- a/bamboovale/entry/attempts.py
+++ b/bamboovale/entry/attempts.py
@@ -6,11 +6,11 @@
 from bamboovale.entry.caller_request import CallerRequest
 from bamboovale.entry.engine_run import RunFailedError
 from bamboovale.entry.model_call import ModelCall
-from bamboovale.entry.permits import Hangup
+from bamboovale.entry.permits import DisconnectSignal
 from bamboovale.errors import ErrorCode, Refusal
 
 
-class HungUpError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller hung up: there is nobody to answer."""
 
 
@@ -34,14 +34,14 @@
     call: ModelCall
     entry: AdapterEntry
     idempotent: bool
-    hangup: Hangup
+    disconnect: DisconnectSignal
     latest_start: float
     fingerprint: str
     excluded: set[str] = field(default_factory=set)
     refusals: int = 0
-    unloadable: Refusal | None = None
-    unanswered: bool = False
-    bounces: int = 0
+    load_refusal: Refusal | None = None
+    holder_missing: bool = False
+    unstarted_runs: int = 0
     runs: int = 0
     exclusive: bool = False
 
--- a/bamboovale/entry/ending.py
+++ b/bamboovale/entry/caller_answer.py
@@ -11,14 +11,14 @@
 
 
 @dataclass
-class Ending:
+class AnswerOutcome:
     """Filled in while the answer is sent: a stream's end is known last."""
 
     state: AnswerState = AnswerState.RUNNING
     code: str = "ok"
 
 
-class ClosingChunks:
+class ChunksWithCleanup:
     """Chunks of an answer whose end is acted on exactly once, however it comes.
 
     A generator that was never begun does not run its ``finally`` when it is closed: a
@@ -59,10 +59,10 @@
     status: int
     headers: list[tuple[str, str]]
     chunks: Iterable[bytes]
-    ending: Ending = field(default_factory=Ending)
+    outcome: AnswerOutcome = field(default_factory=AnswerOutcome)
 
     @classmethod
-    def whole(
+    def complete(
         cls,
         status: int,
         headers: list[tuple[str, str]],
@@ -73,7 +73,7 @@
             status,
             [*headers, ("Content-Length", str(len(body)))],
             [body],
-            Ending(AnswerState.ANSWERED),
+            AnswerOutcome(AnswerState.ANSWERED),
         )
 
     @classmethod
@@ -88,8 +88,8 @@
         if refusal.retry_after_s is not None:
             headers.append(("Retry-After", _whole_seconds(refusal.retry_after_s)))
         state = AnswerState.NOT_RUN if refusal.not_run else AnswerState.UNKNOWN
-        ending = Ending(state, refusal.code.value)
-        return cls(refusal.status, headers, [body], ending)
+        outcome = AnswerOutcome(state, refusal.code.value)
+        return cls(refusal.status, headers, [body], outcome)
 
 
 def _whole_seconds(seconds: float) -> str:
--- a/bamboovale/entry/caller_app.py
+++ b/bamboovale/entry/caller_app.py
@@ -10,8 +10,8 @@
 
 from result import Err
 
+from bamboovale.entry.caller_answer import JSON_TYPE, CallerAnswer, ChunksWithCleanup
 from bamboovale.entry.caller_request import CallerRequest, read_request
-from bamboovale.entry.ending import JSON_TYPE, CallerAnswer, ClosingChunks
 from bamboovale.entry.model_call import PATHS as MODEL_PATHS
 from bamboovale.entry.model_requests import ModelRequests
 from bamboovale.entry.service_calls import PREFIX as SERVICE_PREFIX
@@ -64,14 +64,14 @@
         def count_end() -> None:
             self._count(-1)
             metrics = self._environment.metrics
-            metrics.requests.labels(outcome=answer.ending.code).inc()
+            metrics.requests.labels(outcome=answer.outcome.code).inc()
             took_s = self._environment.now() - began
             kind = _kind_of(environ.get("PATH_INFO", ""))
             metrics.request_seconds.labels(kind=kind).observe(took_s)
 
         phrase = HTTPStatus(answer.status).phrase
         start_response(f"{answer.status} {phrase}", answer.headers)
-        return ClosingChunks(answer.chunks, count_end)
+        return ChunksWithCleanup(answer.chunks, count_end)
 
     def _count(self, change: int) -> None:
         with self._lock:
@@ -181,7 +181,7 @@
 
 
 def _json(status: int, value: Any) -> CallerAnswer:
-    return CallerAnswer.whole(status, [JSON_TYPE], json.dumps(value).encode())
+    return CallerAnswer.complete(status, [JSON_TYPE], json.dumps(value).encode())
 
 
 def _method_not_allowed(request: CallerRequest, allowed: str) -> CallerAnswer:
--- a/bamboovale/entry/callers_side.py
+++ b/bamboovale/entry/caller_app_factory.py
@@ -2,59 +2,59 @@
 
 from dataclasses import dataclass
 
-from bamboovale.entry.admitted import AdmittedRequests
 from bamboovale.entry.caller_app import CallerApp
-from bamboovale.entry.crashes import CrashReports
-from bamboovale.entry.desk import DecisionDesk
+from bamboovale.entry.crash_reporter import CrashReporter
+from bamboovale.entry.decision_facade import DecisionFacade
+from bamboovale.entry.disconnects import DisconnectWatcher
 from bamboovale.entry.endpoint_connections import EndpointConnections
-from bamboovale.entry.hangups import HangupWatcher
 from bamboovale.entry.model_requests import ModelRequests
 from bamboovale.entry.model_runs import ModelRuns
-from bamboovale.entry.permits import PermitDesk
+from bamboovale.entry.permits import PermitClient
+from bamboovale.entry.request_lifecycle import RequestLifecycle
 from bamboovale.entry.service_calls import ServiceCalls
 from bamboovale.environment import Environment
 from bamboovale.views import Views
 
 
 @dataclass(frozen=True)
-class CallerParts:
+class CallerAppDependencies:
     """What model requests and plain calls need of the entry VM."""
 
     environment: Environment
     views: Views
-    desk: DecisionDesk
-    permits: PermitDesk
+    decisions: DecisionFacade
+    permits: PermitClient
     connections: EndpointConnections
-    hangups: HangupWatcher
-    admitted: AdmittedRequests
-    crashes: CrashReports
+    disconnects: DisconnectWatcher
+    lifecycle: RequestLifecycle
+    crash_reporter: CrashReporter
 
 
-def build_caller_app(parts: CallerParts) -> CallerApp:
+def build_caller_app(parts: CallerAppDependencies) -> CallerApp:
     """Return the application of the callers' port."""
     runs = ModelRuns(
         parts.environment,
         parts.views,
-        parts.desk,
+        parts.decisions,
         parts.permits,
         parts.connections,
     )
     models = ModelRequests(
         parts.environment,
         parts.views,
-        parts.desk,
+        parts.decisions,
         parts.permits,
         runs,
-        parts.hangups,
-        parts.admitted,
-        parts.crashes,
+        parts.disconnects,
+        parts.lifecycle,
+        parts.crash_reporter,
     )
     services = ServiceCalls(
         parts.environment,
         parts.views,
-        parts.desk,
+        parts.decisions,
         parts.connections,
-        parts.hangups,
-        parts.admitted,
+        parts.disconnects,
+        parts.lifecycle,
     )
     return CallerApp(parts.environment, parts.views, models, services)
--- a/bamboovale/entry/crashes.py
+++ b/bamboovale/entry/crash_reporter.py
@@ -9,8 +9,8 @@
 
 from bamboovale.decisions.suspects import CrashNotice
 from bamboovale.decisions.work import Permit
-from bamboovale.engines.client import EngineAddress, EngineOrders
-from bamboovale.entry.desk import DecisionDesk
+from bamboovale.engines.client import EngineAddress, EngineClient
+from bamboovale.entry.decision_facade import DecisionFacade
 from bamboovale.environment import Environment
 from bamboovale.views import Views
 
@@ -22,20 +22,20 @@
 logger = logging.getLogger(__name__)
 
 
-class CrashReports:
+class CrashReporter:
     """Finds out whether a broken run was a crash of its engine."""
 
     def __init__(
         self,
         environment: Environment,
         views: Views,
-        desk: DecisionDesk,
-        engines: EngineOrders,
+        decisions: DecisionFacade,
+        engines: EngineClient,
         publish: Callable[[CrashNotice], None],
     ) -> None:
         self._environment = environment
         self._views = views
-        self._desk = desk
+        self._decisions = decisions
         self._engines = engines
         self._publish = publish
 
@@ -73,7 +73,7 @@
 
     def _tell(self, permit: Permit, fingerprint: str, *, alone: bool) -> None:
         notice = CrashNotice(fingerprint, permit.engine_id, permit.boot_id, alone)
-        if self._desk.on_crash(notice):
+        if self._decisions.on_crash(notice):
             logger.warning(
                 "engine %s crashed under request %s (alone: %s)",
                 permit.engine_id,
--- a/bamboovale/entry/hangups.py
+++ b/bamboovale/entry/disconnects.py
@@ -15,7 +15,7 @@
 _GONE = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
 
 
-class HangupWatcher:
+class DisconnectWatcher:
     """One thread that watches the sockets of all waiting callers."""
 
     def __init__(self) -> None:
@@ -25,7 +25,7 @@
         self._stopping = False
         self._thread = threading.Thread(
             target=self._run,
-            name="hangups",
+            name="disconnects",
             daemon=True,
         )
 
@@ -44,15 +44,15 @@
     def watch(
         self,
         caller: socket.socket | None,
-        on_hangup: Callable[[], None],
+        on_disconnect: Callable[[], None],
     ) -> Iterator[None]:
-        """Call ``on_hangup`` once, from the watcher's thread, if the caller goes."""
+        """Call ``on_disconnect`` once, from the watcher's thread, if it goes away."""
         if caller is None or caller.fileno() < 0:
             yield
             return
         descriptor = caller.fileno()
         with self._lock:
-            self._callback_by_descriptor[descriptor] = on_hangup
+            self._callback_by_descriptor[descriptor] = on_disconnect
             self._epoll.register(descriptor, _GONE | select.EPOLLONESHOT)
         try:
             yield
--- a/bamboovale/entry/holders.py
+++ b/bamboovale/entry/engine_holders.py
@@ -12,19 +12,19 @@
 from bamboovale.decisions.dispatch import DispatchConfig
 from bamboovale.decisions.policy import Policy
 from bamboovale.decisions.work import EngineHint
-from bamboovale.engines.client import EngineAddress, EngineOrders
+from bamboovale.engines.client import EngineAddress, EngineClient
 from bamboovale.engines.holder import (
     EngineHolder,
-    LoadTurns,
+    LoadGrants,
 )
 from bamboovale.engines.messages import (
     DumpState,
+    EngineLeaving,
     EntryVMGone,
-    LeavingSeen,
     VersionChanged,
 )
 from bamboovale.engines.orders import LeasedOrders
-from bamboovale.entry.state_dump import ask
+from bamboovale.entry.state_dump import ask_actor
 from bamboovale.environment import Environment
 from bamboovale.views import Views
 
@@ -32,10 +32,10 @@
 
 
 @dataclass(frozen=True)
-class HolderLinksToVM:
+class HolderCallbacks:
     """What a holder needs of the rest of the VM."""
 
-    load_turns: LoadTurns
+    load_grants: LoadGrants
     on_hint: Callable[[EngineHint], None]
     on_started: Callable[[str], None]
     on_stopped: Callable[[str], None]
@@ -47,10 +47,10 @@
 
     fencing: int
     valid: Callable[[], bool]
-    links: HolderLinksToVM
+    links: HolderCallbacks
 
 
-class Holders:
+class EngineHolders:
     """Starts and stops holders as leases come and go."""
 
     def __init__(
@@ -58,7 +58,7 @@
         environment: Environment,
         views: Views,
         policy: Policy,
-        client: EngineOrders,
+        client: EngineClient,
         ticker: Ticker,
     ) -> None:
         self._environment = environment
@@ -79,7 +79,7 @@
         engine_id: str,
         fencing: int,
         valid: Callable[[], bool],
-        links: HolderLinksToVM,
+        links: HolderCallbacks,
     ) -> None:
         """Begin to hold an engine."""
         vm = self._views.membership.vm_by_id.get(engine_id)
@@ -108,17 +108,17 @@
                     fencing,
                     valid,
                 ),
-                load_turns=links.load_turns,
+                load_grants=links.load_grants,
                 on_hint=links.on_hint,
                 log_is_down=lambda: self._views.log_down_for_all,
             )
             self._holder_by_engine[engine_id] = holder
         self._ticker.add(holder)
         if self._views.membership.is_leaving(engine_id):
-            tell(holder, LeavingSeen())
+            tell(holder, EngineLeaving())
         links.on_started(engine_id)
 
-    def stop(self, engine_id: str, links: HolderLinksToVM) -> None:
+    def stop(self, engine_id: str, links: HolderCallbacks) -> None:
         """Stop holding an engine; what waits there is sent elsewhere."""
         with self._lock:
             self._lease_by_engine_without_pool.pop(engine_id, None)
@@ -146,7 +146,7 @@
         """Tell holders of engines that leave; start those whose pool became known."""
         for engine_id, holder in list(self._holder_by_engine.items()):
             if self._views.membership.is_leaving(engine_id):
-                tell(holder, LeavingSeen())
+                tell(holder, EngineLeaving())
         for engine_id in list(self._lease_by_engine_without_pool):
             with self._lock:
                 held = self._lease_by_engine_without_pool.get(engine_id)
@@ -166,7 +166,7 @@
     def dump(self) -> dict[str, Any]:
         """Return the state of every holder."""
         return {
-            engine_id: ask(holder, DumpState())
+            engine_id: ask_actor(holder, DumpState())
             for engine_id, holder in sorted(self._holder_by_engine.items())
         }
 
--- a/bamboovale/entry/holder_links.py
+++ b/bamboovale/entry/holder_router.py
@@ -5,11 +5,11 @@
 
 from bamboovale.actors import tell
 from bamboovale.engines.messages import (
-    AskReceived,
     CancelReceived,
+    PermitRequestReceived,
     ReleaseReceived,
 )
-from bamboovale.entry.holders import Holders
+from bamboovale.entry.engine_holders import EngineHolders
 from bamboovale.errors import ErrorCode
 from bamboovale.peers.links import PeerLinks
 from bamboovale.peers.messages import (
@@ -21,14 +21,14 @@
 from bamboovale.views import Views
 
 
-class HolderRoutes:
-    """Implements :class:`~bamboovale.entry.permits.HolderLinks`."""
+class HolderRouter:
+    """Implements :class:`~bamboovale.entry.permits.HolderTransport`."""
 
     def __init__(
         self,
         own_id: str,
         views: Views,
-        holders: Holders,
+        holders: EngineHolders,
         links: PeerLinks,
     ) -> None:
         self._own_id = own_id
@@ -54,15 +54,17 @@
         lease = self._views.lease_by_engine.get(engine_id)
         return -1 if lease is None else lease.fencing
 
-    def ask(self, holder: str, ask: PermitRequest, timeout_s: float) -> "Future[Any]":
+    def request_permit(
+        self, holder: str, request: PermitRequest, timeout_s: float
+    ) -> "Future[Any]":
         """Send the first ask of a request."""
         if holder != self._own_id:
-            return self._links.request(holder, ask, timeout_s)
+            return self._links.request(holder, request, timeout_s)
         future: Future[Any] = Future()
-        deliver_ask(self._holders, self._own_id, ask, future.set_result)
+        deliver_permit_request(self._holders, self._own_id, request, future.set_result)
         return future
 
-    def tell(self, holder: str, message: Any) -> None:
+    def notify(self, holder: str, message: Any) -> None:
         """Send a message that needs no answer."""
         if holder != self._own_id:
             self._links.notify(holder, message)
@@ -70,18 +72,18 @@
             deliver_notice(self._holders, self._own_id, message)
 
 
-def deliver_ask(
-    holders: Holders,
+def deliver_permit_request(
+    holders: EngineHolders,
     from_vm: str,
-    ask: PermitRequest,
+    request: PermitRequest,
     reply: Any,
 ) -> None:
     """Hand an ask to the engine's holder here, or send it elsewhere."""
-    holder = holders.find(ask.engine_id)
+    holder = holders.find(request.engine_id)
     if holder is None:
         reply(
             PermitReply(
-                request_id=ask.request_id,
+                request_id=request.request_id,
                 code=ErrorCode.NO_ENDPOINT,
                 reason="the lease on the engine is not here",
                 retry_after_s=0.0,
@@ -89,16 +91,16 @@
             )
         )
         return
-    tell(holder, AskReceived(from_vm, ask, reply))
+    tell(holder, PermitRequestReceived(from_vm, request, reply))
 
 
-def deliver_notice(holders: Holders, from_vm: str, message: Any) -> None:
+def deliver_notice(holders: EngineHolders, from_vm: str, message: Any) -> None:
     """Hand a repeat, a cancellation or a release to the engine's holder here."""
     holder = holders.find(message.engine_id)
     if holder is None:
         return
     if isinstance(message, PermitRequest):
-        tell(holder, AskReceived(from_vm, message, None))
+        tell(holder, PermitRequestReceived(from_vm, message, None))
     elif isinstance(message, PermitCancel):
         tell(holder, CancelReceived(message.request_id))
     elif isinstance(message, PermitRelease):
--- a/bamboovale/entry/keyed.py
+++ b/bamboovale/entry/idempotency_keys.py
@@ -17,8 +17,12 @@
 )
 from bamboovale.claims.fold import ClaimOutcome, KeyInfo, Verdict
 from bamboovale.claims.records import Answered, Claim, Released
+from bamboovale.entry.caller_answer import (
+    AnswerOutcome,
+    CallerAnswer,
+    ChunksWithCleanup,
+)
 from bamboovale.entry.caller_request import CallerRequest
-from bamboovale.entry.ending import CallerAnswer, ClosingChunks, Ending
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
 
@@ -33,7 +37,7 @@
 FindAnswer = Callable[[str, str], StoredAnswer]
 
 
-class KeyedRequests:
+class IdempotencyKeyHandler:
     """Claims the key first, then runs, then keeps the answer for repeats."""
 
     def __init__(
@@ -114,8 +118,8 @@
         def settle() -> None:
             self._settle(claim, copy.kept())
 
-        chunks = ClosingChunks(copy, settle)
-        return CallerAnswer(answer.status, answer.headers, chunks, answer.ending)
+        chunks = ChunksWithCleanup(copy, settle)
+        return CallerAnswer(answer.status, answer.headers, chunks, answer.outcome)
 
     def _settle(self, claim: Claim, kept: StoredAnswer) -> None:
         self._answers.end(claim.attempt_id, kept)
@@ -164,7 +168,7 @@
                     ("X-Request-Id", request.request_id),
                     ("X-Repeated-Answer", "1"),
                 ]
-                return CallerAnswer.whole(kept.status, headers, kept.body)
+                return CallerAnswer.complete(kept.status, headers, kept.body)
             if kept.state is AnswerState.NOT_RUN:
                 return self._refuse(
                     request,
@@ -214,7 +218,7 @@
         return chunk
 
     def close(self) -> None:
-        """End the chunks below, which settles the ending."""
+        """End the chunks below, which settles the outcome."""
         close_chunks = getattr(self._chunks, "close", None)
         if close_chunks is not None:
             close_chunks()
@@ -222,18 +226,18 @@
     def kept(self) -> StoredAnswer:
         """Return what is kept for repeats."""
         answer = self._answer
-        state = _final_state(answer.ending)
+        state = _final_state(answer.outcome)
         if state is AnswerState.ANSWERED and not self._whole:
             state = AnswerState.UNKNOWN
         headers = tuple(answer.headers)
         return StoredAnswer(state, answer.status, headers, bytes(self._kept))
 
 
-def _final_state(ending: Ending) -> AnswerState:
+def _final_state(outcome: AnswerOutcome) -> AnswerState:
     """Return how the attempt ended; one broken off while running is unknown."""
-    if ending.state is AnswerState.RUNNING:
+    if outcome.state is AnswerState.RUNNING:
         return AnswerState.UNKNOWN
-    return ending.state
+    return outcome.state
 
 
 def _without(headers: Any, *names: str) -> list[tuple[str, str]]:
--- a/bamboovale/entry/model_requests.py
+++ b/bamboovale/entry/model_requests.py
@@ -8,35 +8,35 @@
 from bamboovale.catalogue.entries import AdapterEntry
 from bamboovale.decisions.admission import Limits
 from bamboovale.decisions.work import WorkItem
-from bamboovale.entry.admitted import AdmittedRequests
 from bamboovale.entry.attempts import (
     Attempts,
+    CallerDisconnectedError,
     FinalRefusalError,
-    HungUpError,
     endpoint_error,
     outcome_unknown,
     rejection,
 )
+from bamboovale.entry.caller_answer import CallerAnswer
 from bamboovale.entry.caller_request import CallerRequest
-from bamboovale.entry.crashes import CrashReports
-from bamboovale.entry.desk import DecisionDesk
-from bamboovale.entry.ending import CallerAnswer
+from bamboovale.entry.crash_reporter import CrashReporter
+from bamboovale.entry.decision_facade import DecisionFacade
+from bamboovale.entry.disconnects import DisconnectWatcher
 from bamboovale.entry.engine_run import RunFailedError, RunFailure
-from bamboovale.entry.hangups import HangupWatcher
 from bamboovale.entry.model_call import (
     DEFAULT_MAX_TOKENS,
     ModelCall,
     read_model_call,
 )
-from bamboovale.entry.model_runs import ModelRuns, RunOrder
+from bamboovale.entry.model_runs import ModelRuns, RunSpec
 from bamboovale.entry.permits import (
-    CallerGone,
-    Hangup,
+    CallerDisconnected,
+    DisconnectSignal,
     HeldPermit,
-    Outdated,
-    PermitDesk,
-    TryElsewhere,
+    PermitClient,
+    TryAnotherEngine,
+    VersionOutdated,
 )
+from bamboovale.entry.request_lifecycle import RequestLifecycle
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
 from bamboovale.models import AdapterVersion
@@ -55,10 +55,10 @@
 MAX_RUNS = 3
 """Runs of one request at most, whatever the retry budget would allow."""
 
-BOUNCE_PAUSE_S = 0.02
+UNSTARTED_RUN_BACKOFF_S = 0.02
 """Grows with each; ten of them give a holder a second to see a restarted engine."""
 
-MAX_BOUNCES = 10
+MAX_UNSTARTED_RUNS = 10
 """Permits whose run did not begin (adapter gone, no connection, send-by past)."""
 
 
@@ -69,21 +69,21 @@
         self,
         environment: Environment,
         views: Views,
-        desk: DecisionDesk,
-        permits: PermitDesk,
+        decisions: DecisionFacade,
+        permits: PermitClient,
         runs: ModelRuns,
-        hangups: HangupWatcher,
-        admitted: AdmittedRequests,
-        crashes: CrashReports,
+        disconnects: DisconnectWatcher,
+        lifecycle: RequestLifecycle,
+        crash_reporter: CrashReporter,
     ) -> None:
         self._environment = environment
         self._views = views
-        self._desk = desk
+        self._decisions = decisions
         self._permits = permits
         self._runs = runs
-        self._hangups = hangups
-        self._admitted = admitted
-        self._crashes = crashes
+        self._disconnects = disconnects
+        self._lifecycle = lifecycle
+        self._crash_reporter = crash_reporter
 
     def answer(self, request: CallerRequest) -> CallerAnswer:
         """Return the answer to a model request."""
@@ -111,7 +111,7 @@
         entry: AdapterEntry,
     ) -> CallerAnswer:
         fingerprint = request.fingerprint(entry.target.lora_name)
-        refusal = self._desk.crash_refusal(fingerprint)
+        refusal = self._decisions.crash_refusal(fingerprint)
         if refusal is not None:
             return CallerAnswer.refusal(refusal, request.request_id)
         wait_s = entry.limits.max_wait_s
@@ -122,11 +122,11 @@
             call=call,
             entry=entry,
             idempotent=request.idempotent is not False,
-            hangup=Hangup(),
+            disconnect=DisconnectSignal(),
             latest_start=request.arrived_at + wait_s,
             fingerprint=fingerprint,
         )
-        return self._admitted.answer(
+        return self._lifecycle.answer(
             request,
             f"adapter/{entry.name}",
             entry.owner,
@@ -137,7 +137,7 @@
     def _attempt(self, attempts: Attempts) -> CallerAnswer:
         """Try engines until one answers or the request is given up on."""
         request = attempts.request
-        with self._hangups.watch(request.connection, attempts.hangup.signal):
+        with self._disconnects.watch(request.connection, attempts.disconnect.trigger):
             try:
                 while True:
                     answer = self._try_once(attempts)
@@ -150,7 +150,7 @@
                     not_run=final.refusal.not_run and not ran,
                 )
                 return CallerAnswer.refusal(refusal, request.request_id)
-            except HungUpError:
+            except CallerDisconnectedError:
                 refusal = Refusal(
                     ErrorCode.BAD_REQUEST,
                     "the caller hung up",
@@ -161,7 +161,7 @@
     def _try_once(self, attempts: Attempts) -> CallerAnswer | None:
         """Get one permit and run under it; None means: try again."""
         self._check_serving()
-        attempt_id = self._admitted.new_attempt_id(attempts.request)
+        attempt_id = self._lifecycle.new_attempt_id(attempts.request)
         held = self._get_permit(attempts, attempt_id)
         if held is None:
             return None
@@ -177,7 +177,7 @@
             return None
         try:
             return self._runs.run(
-                RunOrder(
+                RunSpec(
                     held=held,
                     attempt_id=attempt_id,
                     call=attempts.call,
@@ -187,7 +187,7 @@
                     fingerprint=attempts.fingerprint,
                 ),
                 attempts.request,
-                attempts.hangup,
+                attempts.disconnect,
             )
         except RunFailedError as failed:
             self._settle_failure(attempts, held, failed)
@@ -208,7 +208,7 @@
 
     def _get_permit(self, attempts: Attempts, attempt_id: str) -> HeldPermit | None:
         item = self._work_item(attempts, attempt_id)
-        engine_id = self._desk.choose_engine(
+        engine_id = self._decisions.choose_engine(
             item,
             attempts.entry.base_model,
             attempts.excluded,
@@ -219,23 +219,23 @@
         answer = self._permits.acquire(
             item,
             engine_id,
-            attempts.hangup,
+            attempts.disconnect,
             lambda: self._is_current(attempts),
         )
         if isinstance(answer, HeldPermit):
             return answer
-        if isinstance(answer, CallerGone):
-            raise HungUpError
-        if isinstance(answer, Outdated):
+        if isinstance(answer, CallerDisconnected):
+            raise CallerDisconnectedError
+        if isinstance(answer, VersionOutdated):
             self._follow_catalogue(attempts, self._find_entry(attempts.entry.name))
             return None
         attempts.excluded.add(engine_id)
-        if isinstance(answer, TryElsewhere):
-            attempts.unanswered = True
+        if isinstance(answer, TryAnotherEngine):
+            attempts.holder_missing = True
             return None
         if answer.code is ErrorCode.LOG_UNAVAILABLE:
             # It cannot be loaded there now; another engine may have it loaded.
-            attempts.unloadable = answer
+            attempts.load_refusal = answer
             return None
         attempts.refusals += 1
         if attempts.refusals >= MAX_REFUSALS:
@@ -262,7 +262,7 @@
 
     def _work_item(self, attempts: Attempts, attempt_id: str) -> WorkItem:
         entry = attempts.entry
-        crashed = self._desk.crashed_endpoints(attempts.fingerprint)
+        crashed = self._decisions.crashed_endpoints(attempts.fingerprint)
         attempts.exclusive = bool(crashed)
         attempts.excluded.update(crashed)
         return WorkItem(
@@ -289,12 +289,12 @@
         now = self._environment.now()
         request = attempts.request
         give_up_at = min(attempts.latest_start, request.arrived_at + SEARCH_S)
-        if attempts.hangup.gone:
-            raise HungUpError
+        if attempts.disconnect.disconnected:
+            raise CallerDisconnectedError
         # An engine whose lease is moving may have the adapter loaded: look again.
-        looked_long_enough = not attempts.unanswered or now >= give_up_at
-        if attempts.unloadable is not None and looked_long_enough:
-            raise FinalRefusalError(attempts.unloadable)
+        looked_long_enough = not attempts.holder_missing or now >= give_up_at
+        if attempts.load_refusal is not None and looked_long_enough:
+            raise FinalRefusalError(attempts.load_refusal)
         if now >= give_up_at:
             raise FinalRefusalError(
                 Refusal(
@@ -305,7 +305,7 @@
                 )
             )
         attempts.excluded.clear()
-        attempts.unanswered = False
+        attempts.holder_missing = False
         time.sleep(PAUSE_S)
 
     # Failures of runs.
@@ -317,43 +317,47 @@
         failed: RunFailedError,
     ) -> None:
         """Decide whether the request may be tried again; raise if it may not."""
-        if attempts.hangup.gone:
+        if attempts.disconnect.disconnected:
             attempts.runs += not failed.not_run
-            raise HungUpError
+            raise CallerDisconnectedError
         if failed.failure is RunFailure.REJECTED:
             raise FinalRefusalError(rejection(failed))
         if failed.not_run:
-            self._count_bounce(attempts, held, failed)
+            self._count_unstarted_run(attempts, held, failed)
             return
         attempts.runs += 1
-        crashed = self._crashes.report(
+        crashed = self._crash_reporter.report(
             held.permit,
             attempts.fingerprint,
             alone=attempts.exclusive,
         )
-        refusal = self._desk.crash_refusal(attempts.fingerprint)
+        refusal = self._decisions.crash_refusal(attempts.fingerprint)
         if refusal is not None:
             raise FinalRefusalError(refusal)
         if not attempts.idempotent:
             raise FinalRefusalError(outcome_unknown(failed))
         suspect_failed = crashed and attempts.exclusive
-        if suspect_failed or attempts.runs >= MAX_RUNS or not self._desk.may_repeat():
+        if (
+            suspect_failed
+            or attempts.runs >= MAX_RUNS
+            or not self._decisions.may_retry()
+        ):
             raise FinalRefusalError(endpoint_error(failed))
         self._environment.metrics.retries.inc()
         attempts.excluded.add(held.permit.engine_id)
 
-    def _count_bounce(
+    def _count_unstarted_run(
         self,
         attempts: Attempts,
         held: HeldPermit,
         failed: RunFailedError,
     ) -> None:
         """Go on after a run that did not begin, a bounded number of times."""
-        attempts.bounces += 1
-        time.sleep(attempts.bounces * BOUNCE_PAUSE_S)
+        attempts.unstarted_runs += 1
+        time.sleep(attempts.unstarted_runs * UNSTARTED_RUN_BACKOFF_S)
         if failed.failure is RunFailure.NOT_SENT:
             attempts.excluded.add(held.permit.engine_id)
-        if attempts.bounces > MAX_BOUNCES:
+        if attempts.unstarted_runs > MAX_UNSTARTED_RUNS:
             raise FinalRefusalError(
                 Refusal(
                     ErrorCode.NO_ENDPOINT,
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -14,11 +14,11 @@
 )
 from bamboovale.claims.answers import AnswerStore
 from bamboovale.decisions.suspects import CrashNotice
-from bamboovale.engines.load_turns import TurnAsked, TurnEnded
-from bamboovale.entry.desk import DecisionDesk
-from bamboovale.entry.holder_links import deliver_ask, deliver_notice
-from bamboovale.entry.holders import Holders
-from bamboovale.entry.permits import PermitDesk
+from bamboovale.engines.load_grants import LoadReleaseReceived, LoadRequestReceived
+from bamboovale.entry.decision_facade import DecisionFacade
+from bamboovale.entry.engine_holders import EngineHolders
+from bamboovale.entry.holder_router import deliver_notice, deliver_permit_request
+from bamboovale.entry.permits import PermitClient
 from bamboovale.membership.actor import StatusReceived
 from bamboovale.peers.messages import (
     AnswerKept,
@@ -50,12 +50,12 @@
 
     catalogue: pykka.ActorRef
     membership: pykka.ActorRef
-    load_turns: pykka.ActorRef
-    holders: Holders
-    permits: PermitDesk
-    desk: DecisionDesk
+    load_grants: pykka.ActorRef
+    holders: EngineHolders
+    permits: PermitClient
+    decisions: DecisionFacade
     answers: AnswerStore
-    give_turn: Callable[[LoadGrantReply], None]
+    deliver_load_grant: Callable[[LoadGrantReply], None]
 
 
 class PeerHandler:
@@ -65,7 +65,7 @@
         self._views = views
         self._targets = targets
         self._request_by_type: dict[type, Callable[[str, Any, Reply], None]] = {
-            PermitRequest: self._on_permit_ask,
+            PermitRequest: self._on_permit_request,
             PermitsQuery: self._on_permits_query,
             CatalogueQuery: self._on_catalogue_query,
             RevisionQuery: self._on_revision_query,
@@ -77,9 +77,9 @@
             PermitRelease: self._on_holder_notice,
             StatusNotice: self._on_status,
             RecordsNotice: self._on_records,
-            LoadGrantRequest: self._on_turn_ask,
-            LoadGrantReply: self._on_turn_given,
-            LoadGrantRelease: self._on_turn_ended,
+            LoadGrantRequest: self._on_load_request,
+            LoadGrantReply: self._on_load_grant,
+            LoadGrantRelease: self._on_load_release,
             CrashSeen: self._on_crash,
         }
 
@@ -95,14 +95,14 @@
         if handler is not None:
             handler(sender, message)
 
-    def _on_permit_ask(self, sender: str, ask: PermitRequest, reply: Reply) -> None:
-        deliver_ask(self._targets.holders, sender, ask, reply)
+    def _on_permit_request(self, sender: str, request: PermitRequest, reply: Reply) -> None:
+        deliver_permit_request(self._targets.holders, sender, request, reply)
 
     def _on_holder_notice(self, sender: str, message: Any) -> None:
         deliver_notice(self._targets.holders, sender, message)
 
     def _on_permits_query(self, _: str, query: PermitsQuery, reply: Reply) -> None:
-        held = self._targets.permits.held_on(query.engine_id)
+        held = self._targets.permits.permits_on(query.engine_id)
         reply(PermitsHeld(query.engine_id, held))
 
     def _on_catalogue_query(self, _: str, __: CatalogueQuery, reply: Reply) -> None:
@@ -133,16 +133,16 @@
             passed = CatalogueRecordsForwarded(notice.first_offset, notice.values)
             tell(self._targets.catalogue, passed)
 
-    def _on_turn_ask(self, sender: str, ask: LoadGrantRequest) -> None:
-        tell(self._targets.load_turns, TurnAsked(sender, ask))
+    def _on_load_request(self, sender: str, request: LoadGrantRequest) -> None:
+        tell(self._targets.load_grants, LoadRequestReceived(sender, request))
 
-    def _on_turn_given(self, _: str, turn: LoadGrantReply) -> None:
-        self._targets.give_turn(turn)
+    def _on_load_grant(self, _: str, grant: LoadGrantReply) -> None:
+        self._targets.deliver_load_grant(grant)
 
-    def _on_turn_ended(self, _: str, ended: LoadGrantRelease) -> None:
-        tell(self._targets.load_turns, TurnEnded(ended))
+    def _on_load_release(self, _: str, ended: LoadGrantRelease) -> None:
+        tell(self._targets.load_grants, LoadReleaseReceived(ended))
 
     def _on_crash(self, _: str, seen: CrashSeen) -> None:
-        self._targets.desk.on_crash(
+        self._targets.decisions.on_crash(
             CrashNotice(seen.fingerprint, seen.endpoint_id, seen.boot_id, seen.alone)
         )
--- a/bamboovale/entry/permits.py
+++ b/bamboovale/entry/permits.py
@@ -22,14 +22,14 @@
     PermitRequest,
 )
 
-ASKS_PER_SEND_WITHIN = 3
+REQUESTS_PER_SEND_WINDOW = 3
 """Repeats of an ask within the time that a permit may be used: two may be lost."""
 
 GRACE_S = 0.5
 """The holder refuses a wait that cannot be met; past this its answer is overdue."""
 
 
-class HolderLinks(Protocol):
+class HolderTransport(Protocol):
     """The way to the lease holder of an engine, on this VM or another."""
 
     def holder_of(self, engine_id: str) -> str | None:
@@ -40,22 +40,24 @@
         """Return the fencing number of the present holder, -1 if not known."""
         ...
 
-    def ask(self, holder: str, ask: PermitRequest, timeout_s: float) -> "Future[Any]":
+    def request_permit(
+        self, holder: str, request: PermitRequest, timeout_s: float
+    ) -> "Future[Any]":
         """Send the first ask; the future brings a :class:`PermitReply`."""
         ...
 
-    def tell(self, holder: str, message: Any) -> None:
+    def notify(self, holder: str, message: Any) -> None:
         """Send a message that needs no answer."""
         ...
 
 
 @dataclass(frozen=True)
-class CallerGone:
+class CallerDisconnected:
     """The caller hung up while its request waited."""
 
 
 @dataclass(frozen=True)
-class TryElsewhere:
+class TryAnotherEngine:
     """This engine cannot serve the request; another one may."""
 
     reason: str
@@ -63,7 +65,7 @@
 
 
 @dataclass(frozen=True)
-class Outdated:
+class VersionOutdated:
     """The catalogue names another version now: the request moves to that one."""
 
 
@@ -76,34 +78,36 @@
     send_by: float
 
 
-Answer = HeldPermit | Refusal | TryElsewhere | CallerGone | Outdated
+AcquireResult = (
+    HeldPermit | Refusal | TryAnotherEngine | CallerDisconnected | VersionOutdated
+)
 
 
-class Hangup:
+class DisconnectSignal:
     """What a caller's hang-up interrupts: the wait or the run of its request."""
 
     def __init__(self) -> None:
-        self.gone = False
+        self.disconnected = False
         self._interrupt: Callable[[], None] | None = None
 
-    def signal(self) -> None:
+    def trigger(self) -> None:
         """Tell that the caller hung up."""
-        self.gone = True
+        self.disconnected = True
         interrupt = self._interrupt
         if interrupt is not None:
             interrupt()
 
-    def attach(self, interrupt: Callable[[], None]) -> None:
+    def on_disconnect(self, interrupt: Callable[[], None]) -> None:
         """Call this at the hang-up, at once if it has happened."""
         self._interrupt = interrupt
-        if self.gone:
+        if self.disconnected:
             interrupt()
 
 
-class PermitDesk:
+class PermitClient:
     """Asks for permits and keeps the list of those in use."""
 
-    def __init__(self, environment: Environment, links: HolderLinks) -> None:
+    def __init__(self, environment: Environment, links: HolderTransport) -> None:
         self._environment = environment
         self._links = links
         self._held_by_id: dict[str, HeldPermit] = {}
@@ -113,15 +117,15 @@
         self,
         item: WorkItem,
         engine_id: str,
-        hangup: Hangup,
-        still_wanted: Callable[[], bool],
-    ) -> Answer:
-        """Wait for a place on the engine, while the version is ``still_wanted``."""
+        disconnect: DisconnectSignal,
+        is_current: Callable[[], bool],
+    ) -> AcquireResult:
+        """Wait for a place on the engine, while the version is ``is_current``."""
         holder = self._links.holder_of(engine_id)
         if holder is None:
-            return TryElsewhere("the engine has no lease holder", retry_after_s=1.0)
-        wait = _Wait(self._environment, self._links, item, engine_id, holder)
-        return wait.run(hangup, still_wanted, self._keep)
+            return TryAnotherEngine("the engine has no lease holder", retry_after_s=1.0)
+        wait = _PermitWait(self._environment, self._links, item, engine_id, holder)
+        return wait.run(disconnect, is_current, self._keep)
 
     def release(self, held: HeldPermit, *, refused: bool = False) -> None:
         """Tell the holder that the run is over or never happened.
@@ -134,7 +138,7 @@
             known = self._held_by_id.pop(permit.permit_id, None)
         if known is not None:
             message = PermitRelease(permit.engine_id, permit.permit_id, refused)
-            self._links.tell(held.holder, message)
+            self._links.notify(held.holder, message)
 
     def may_still_send(self, held: HeldPermit) -> bool:
         """Check the send-by time, right before the first byte is sent."""
@@ -143,7 +147,7 @@
         self._environment.metrics.permits_discarded.inc()
         return False
 
-    def held_on(self, engine_id: str) -> tuple[Permit, ...]:
+    def permits_on(self, engine_id: str) -> tuple[Permit, ...]:
         """Return the permits in use on an engine, for a new lease holder."""
         with self._lock:
             return tuple(
@@ -161,61 +165,61 @@
             self._held_by_id[held.permit.permit_id] = held
 
 
-class _Wait:
+class _PermitWait:
     """One wait at one holder."""
 
     def __init__(
         self,
         environment: Environment,
-        links: HolderLinks,
+        links: HolderTransport,
         item: WorkItem,
         engine_id: str,
         holder: str,
     ) -> None:
         self._now = environment.now
-        self._repeat_s = environment.settings.send_within_s / ASKS_PER_SEND_WITHIN
+        self._repeat_s = environment.settings.send_within_s / REQUESTS_PER_SEND_WINDOW
         self._links = links
         self._item = item
         self._engine_id = engine_id
         self._holder = holder
-        self._asked_at_by_number: dict[int, float] = {}
+        self._sent_at_by_number: dict[int, float] = {}
         self._mailbox: queue.SimpleQueue[Any] = queue.SimpleQueue()
 
     def run(
         self,
-        hangup: Hangup,
-        still_wanted: Callable[[], bool],
+        disconnect: DisconnectSignal,
+        is_current: Callable[[], bool],
         keep: Callable[[HeldPermit], None],
-    ) -> Answer:
+    ) -> AcquireResult:
         """Ask, repeat the ask while waiting, and settle how the wait ends."""
-        hangup.attach(lambda: self._mailbox.put(CallerGone()))
+        disconnect.on_disconnect(lambda: self._mailbox.put(CallerDisconnected()))
         future = self._ask()
         future.add_done_callback(self._mailbox.put)
         while True:
             try:
                 event = self._mailbox.get(timeout=self._repeat_s)
             except queue.Empty:
-                ending = self._repeat_or_end(still_wanted)
+                ending = self._repeat_or_end(is_current)
                 if ending is None:
                     continue
                 self._give_up(future)
                 return ending
-            if isinstance(event, CallerGone):
+            if isinstance(event, CallerDisconnected):
                 self._give_up(future)
                 return event
             return self._settle(event, keep)
 
     def _ask(self) -> "Future[Any]":
         left_s = max(0.0, self._item.latest_start - self._now())
-        return self._links.ask(
+        return self._links.request_permit(
             self._holder,
             self._message(left_s),
             left_s + 2 * GRACE_S,
         )
 
     def _message(self, left_s: float) -> PermitRequest:
-        number = len(self._asked_at_by_number) + 1
-        self._asked_at_by_number[number] = self._now()
+        number = len(self._sent_at_by_number) + 1
+        self._sent_at_by_number[number] = self._now()
         item = self._item
         return PermitRequest(
             engine_id=self._engine_id,
@@ -233,10 +237,10 @@
             exclusive=item.exclusive,
         )
 
-    def _repeat_or_end(self, still_wanted: Callable[[], bool]) -> Answer | None:
+    def _repeat_or_end(self, is_current: Callable[[], bool]) -> AcquireResult | None:
         now = self._now()
-        if not still_wanted():
-            return Outdated()
+        if not is_current():
+            return VersionOutdated()
         if now > self._item.latest_start + GRACE_S:
             return Refusal(
                 ErrorCode.DEADLINE,
@@ -245,20 +249,20 @@
                 retry_after_s=1.0,
             )
         if self._links.holder_of(self._engine_id) != self._holder:
-            return TryElsewhere("the lease on the engine has moved", 0.0)
+            return TryAnotherEngine("the lease on the engine has moved", 0.0)
         left_s = max(0.0, self._item.latest_start - now)
-        self._links.tell(self._holder, self._message(left_s))
+        self._links.notify(self._holder, self._message(left_s))
         return None
 
     def _settle(
         self,
         future: "Future[Any]",
         keep: Callable[[HeldPermit], None],
-    ) -> Answer:
+    ) -> AcquireResult:
         error = future.exception()
         if error is not None:
             self._cancel()
-            return TryElsewhere(f"no answer from the lease holder: {error}", 0.5)
+            return TryAnotherEngine(f"no answer from the lease holder: {error}", 0.5)
         reply: PermitReply = future.result()
         if reply.permit is None:
             return _refusal(reply)
@@ -267,7 +271,7 @@
             # Granted by a holder that does not know yet that its lease was taken: the
             # new one may evict the adapter without seeing this permit.
             self._cancel()
-            return TryElsewhere("the permit is of a former lease holder", 0.0)
+            return TryAnotherEngine("the permit is of a former lease holder", 0.0)
         keep(held)
         return held
 
@@ -277,11 +281,11 @@
         This VM may have been paused while the permit lay in its socket: counted from
         now, a permit given up on long ago would look fresh.
         """
-        asked_at = self._asked_at_by_number.get(permit.ask_number, float("-inf"))
+        asked_at = self._sent_at_by_number.get(permit.ask_number, float("-inf"))
         return HeldPermit(permit, self._holder, asked_at + permit.send_within_s)
 
     def _cancel(self) -> None:
-        self._links.tell(
+        self._links.notify(
             self._holder,
             PermitCancel(self._engine_id, self._item.request_id),
         )
@@ -296,14 +300,14 @@
             permit = done.result().permit
             if permit is not None:
                 release = PermitRelease(permit.engine_id, permit.permit_id)
-                self._links.tell(self._holder, release)
+                self._links.notify(self._holder, release)
 
         future.add_done_callback(return_late_permit)
 
 
-def _refusal(reply: PermitReply) -> Refusal | TryElsewhere:
+def _refusal(reply: PermitReply) -> Refusal | TryAnotherEngine:
     if reply.elsewhere:
-        return TryElsewhere(reply.reason, reply.retry_after_s)
+        return TryAnotherEngine(reply.reason, reply.retry_after_s)
     return Refusal(
         reply.code or ErrorCode.OVERLOADED,
         reply.reason,
--- a/bamboovale/entry/admitted.py
+++ b/bamboovale/entry/request_lifecycle.py
@@ -5,24 +5,24 @@
 from collections.abc import Callable
 
 from bamboovale.decisions.admission import Arrival, Limits
+from bamboovale.entry.caller_answer import CallerAnswer, ChunksWithCleanup
 from bamboovale.entry.caller_request import CallerRequest
-from bamboovale.entry.desk import DecisionDesk
-from bamboovale.entry.ending import CallerAnswer, ClosingChunks
-from bamboovale.entry.keyed import KeyedRequests
+from bamboovale.entry.decision_facade import DecisionFacade
+from bamboovale.entry.idempotency_keys import IdempotencyKeyHandler
 from bamboovale.environment import Environment
 
 
-class AdmittedRequests:
+class RequestLifecycle:
     """Takes a request in, claims its key if it has one, and frees both at its end."""
 
     def __init__(
         self,
         environment: Environment,
-        desk: DecisionDesk,
-        keyed: KeyedRequests,
+        decisions: DecisionFacade,
+        keyed: IdempotencyKeyHandler,
     ) -> None:
         self._incarnation = environment.incarnation[:6]
-        self._desk = desk
+        self._decisions = decisions
         self._keyed = keyed
         self._attempt_numbers = itertools.count(1)
 
@@ -41,7 +41,7 @@
     ) -> CallerAnswer:
         """Run an admitted request; its place is held until its answer has been sent."""
         attempt_id = self.new_attempt_id(request)
-        refusal = self._desk.admit(
+        refusal = self._decisions.admit(
             Arrival(
                 request_id=attempt_id,
                 customer=owner,
@@ -53,11 +53,11 @@
         if refusal is not None:
             return CallerAnswer.refusal(refusal, request.request_id)
         with contextlib.ExitStack() as stack:
-            stack.callback(self._desk.done, attempt_id)
+            stack.callback(self._decisions.release, attempt_id)
             if request.key is None:
                 answer = run()
             else:
                 answer = self._keyed.answer(request, attempt_id, owner, run)
             held = stack.pop_all()
-        answer.chunks = ClosingChunks(answer.chunks, held.close)
+        answer.chunks = ChunksWithCleanup(answer.chunks, held.close)
         return answer
--- a/bamboovale/entry/service_calls.py
+++ b/bamboovale/entry/service_calls.py
@@ -7,18 +7,18 @@
 
 from bamboovale.catalogue.entries import ServiceEntry
 from bamboovale.decisions.admission import Limits
-from bamboovale.entry.admitted import AdmittedRequests
+from bamboovale.entry.caller_answer import CallerAnswer
 from bamboovale.entry.caller_request import CallerRequest
-from bamboovale.entry.desk import DecisionDesk
-from bamboovale.entry.ending import CallerAnswer
+from bamboovale.entry.decision_facade import DecisionFacade
+from bamboovale.entry.disconnects import DisconnectWatcher
 from bamboovale.entry.endpoint_connections import (
     ConnectFailedError,
     EndpointConnections,
     Exchange,
     ExchangeFailedError,
 )
-from bamboovale.entry.hangups import HangupWatcher
-from bamboovale.entry.permits import Hangup
+from bamboovale.entry.permits import DisconnectSignal
+from bamboovale.entry.request_lifecycle import RequestLifecycle
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
 from bamboovale.views import Views
@@ -54,17 +54,17 @@
         self,
         environment: Environment,
         views: Views,
-        desk: DecisionDesk,
+        decisions: DecisionFacade,
         connections: EndpointConnections,
-        hangups: HangupWatcher,
-        admitted: AdmittedRequests,
+        disconnects: DisconnectWatcher,
+        lifecycle: RequestLifecycle,
     ) -> None:
         self._environment = environment
         self._views = views
-        self._desk = desk
+        self._decisions = decisions
         self._connections = connections
-        self._hangups = hangups
-        self._admitted = admitted
+        self._disconnects = disconnects
+        self._lifecycle = lifecycle
 
     def answer(self, request: CallerRequest, raw_path: str) -> CallerAnswer:
         """Return the answer to a call; ``raw_path`` as the caller wrote it."""
@@ -74,7 +74,7 @@
         if entry is None:
             refusal = Refusal(ErrorCode.NOT_FOUND, f"no service {name!r}", not_run=True)
             return CallerAnswer.refusal(refusal, request.request_id)
-        return self._admitted.answer(
+        return self._lifecycle.answer(
             request,
             f"service/{entry.name}",
             entry.owner,
@@ -101,8 +101,8 @@
 
     def _try_once(self, call: "_Call") -> Result[CallerAnswer, Refusal | None]:
         """Call one endpoint; Err(None) means: try another one."""
-        attempt_id = self._admitted.new_attempt_id(call.request)
-        endpoint_id = self._desk.choose_endpoint(
+        attempt_id = self._lifecycle.new_attempt_id(call.request)
+        endpoint_id = self._decisions.choose_endpoint(
             call.entry.pool,
             attempt_id,
             call.excluded,
@@ -122,7 +122,7 @@
             call.ran = True
             return Err(self._after_break(call, str(error)))
         finally:
-            self._desk.call_ended(call.entry.pool, endpoint_id, attempt_id, ok)
+            self._decisions.call_ended(call.entry.pool, endpoint_id, attempt_id, ok)
 
     def _exchange(
         self,
@@ -142,13 +142,15 @@
         finished = False
         self._environment.metrics.attempts.inc()
         try:
-            call.hangup.attach(exchange.abort)
-            with self._hangups.watch(call.request.connection, call.hangup.signal):
+            call.disconnect.on_disconnect(exchange.abort)
+            with self._disconnects.watch(
+                call.request.connection, call.disconnect.trigger
+            ):
                 body = self._send(call, exchange, attempt_id, address[0])
             finished = True
         finally:
             if finished:
-                self._connections.give_back(address, exchange)
+                self._connections.release(address, exchange)
             else:
                 self._connections.discard(exchange)
         assert exchange.response is not None
@@ -158,7 +160,7 @@
             ("X-Endpoint", endpoint_id),
             ("X-Entry", self._environment.settings.id),
         ]
-        return CallerAnswer.whole(exchange.response.status, headers, body)
+        return CallerAnswer.complete(exchange.response.status, headers, body)
 
     def _send(
         self,
@@ -214,13 +216,13 @@
     def _after_break(self, call: "_Call", reason: str) -> Refusal | None:
         """Repeat an idempotent call within the budget; never one that is not."""
         call.tries += 1
-        if not call.idempotent or call.hangup.gone:
+        if not call.idempotent or call.disconnect.disconnected:
             return Refusal(
                 ErrorCode.OUTCOME_UNKNOWN,
                 f"the call was sent and its answer is lost ({reason})",
                 not_run=False,
             )
-        if call.tries < MAX_TRIES and self._desk.may_repeat():
+        if call.tries < MAX_TRIES and self._decisions.may_retry():
             self._environment.metrics.retries.inc()
             return None
         return Refusal(
@@ -245,7 +247,7 @@
         self.entry = entry
         self.path = path
         self.idempotent = idempotent
-        self.hangup = Hangup()
+        self.disconnect = DisconnectSignal()
         self.excluded: set[str] = set()
         self.tries = 0
         self.ran = False
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -26,27 +26,27 @@
 from bamboovale.claims.answers import AnswerStore
 from bamboovale.decisions.policy import Policy
 from bamboovale.decisions.suspects import CrashNotice
-from bamboovale.engines.client import VllmEngineOrders
-from bamboovale.engines.load_turns import (
-    DumpLoadTurns,
-    LoadTurnKeeper,
+from bamboovale.engines.client import VllmEngineClient
+from bamboovale.engines.load_grant_router import LoadGrantRouter
+from bamboovale.engines.load_grants import (
+    DumpLoadGrants,
+    LoadGrantKeeper,
     SchedulerLeaseChanged,
 )
-from bamboovale.engines.turn_routes import TurnRoutes
 from bamboovale.entry.administration import Administration
-from bamboovale.entry.admitted import AdmittedRequests
-from bamboovale.entry.callers_side import CallerParts, build_caller_app
-from bamboovale.entry.crashes import CrashReports
-from bamboovale.entry.desk import DecisionDesk
+from bamboovale.entry.caller_app_factory import CallerAppDependencies, build_caller_app
+from bamboovale.entry.crash_reporter import CrashReporter
+from bamboovale.entry.decision_facade import DecisionFacade
+from bamboovale.entry.disconnects import DisconnectWatcher
 from bamboovale.entry.endpoint_connections import EndpointConnections
-from bamboovale.entry.hangups import HangupWatcher
-from bamboovale.entry.holder_links import HolderRoutes
-from bamboovale.entry.holders import HolderLinksToVM, Holders
+from bamboovale.entry.engine_holders import EngineHolders, HolderCallbacks
+from bamboovale.entry.holder_router import HolderRouter
 from bamboovale.entry.http_server import HttpListener
-from bamboovale.entry.keyed import KeyedRequests
-from bamboovale.entry.peer_exchange import PeerExchange, read_crash_notice
+from bamboovale.entry.idempotency_keys import IdempotencyKeyHandler
+from bamboovale.entry.peer_client import PeerClient, read_crash_notice
 from bamboovale.entry.peer_handler import PeerHandler, PeerTargets
-from bamboovale.entry.permits import PermitDesk
+from bamboovale.entry.permits import PermitClient
+from bamboovale.entry.request_lifecycle import RequestLifecycle
 from bamboovale.entry.state_dump import StateDump, as_json
 from bamboovale.environment import Environment
 from bamboovale.http_client import HttpClient
@@ -110,33 +110,35 @@
             environment.metrics,
         )
         self._ticker = Ticker()
-        self._engines = VllmEngineOrders(self._http)
+        self._engines = VllmEngineClient(self._http)
         self._connections = EndpointConnections(settings.address)
-        self._hangups = HangupWatcher()
+        self._disconnects = DisconnectWatcher()
         self._answers = AnswerStore()
-        self.desk = DecisionDesk(environment, self.views, self._policy)
+        self.decisions = DecisionFacade(environment, self.views, self._policy)
         self._appender_by_stream = {
             stream: Appender(environment, self._log, stream)
             for stream in (CATALOGUE_STREAM, LEASE_STREAM, CLAIM_STREAM, NOTICE_STREAM)
         }
-        self._holders = Holders(
+        self._holders = EngineHolders(
             environment,
             self.views,
             self._policy,
             self._engines,
             self._ticker,
         )
-        self._exchange = PeerExchange(
+        self._peer_client = PeerClient(
             settings.id,
             self.views,
             self._links,
             self._answers,
         )
-        self._turn_routes = TurnRoutes(settings.id, self._links, self._holders)
-        self._holder_links = HolderLinksToVM(
-            load_turns=self._turn_routes,
+        self._load_grant_router = LoadGrantRouter(
+            settings.id, self._links, self._holders
+        )
+        self._holder_links = HolderCallbacks(
+            load_grants=self._load_grant_router,
             on_hint=lambda hint: tell(self._membership, HintUpdated(hint)),
-            on_started=self._ask_permits_held,
+            on_started=self._request_permits_held,
             on_stopped=lambda engine_id: tell(
                 self._membership,
                 HolderStopped(engine_id),
@@ -162,24 +164,24 @@
                     self._catalogue,
                     PeerIsAhead(vm_id, next_offset),
                 ),
-                on_hint=self.desk.on_hint,
-                on_interval=self.desk.on_tick,
+                on_hint=self.decisions.on_hint,
+                on_interval=self.decisions.on_tick,
             ),
         )
-        self._load_turns = LoadTurnKeeper.start(
+        self._load_grants = LoadGrantKeeper.start(
             environment,
             self.views,
             self._links.notify,
-            self._turn_routes.give,
+            self._load_grant_router.deliver,
         )
-        self._turn_routes.attach(self._load_turns)
+        self._load_grant_router.attach(self._load_grants)
         self._catalogue = CatalogueActor.start(
             environment,
             self.views,
             self._appender_by_stream[CATALOGUE_STREAM],
             CatalogueCallbacks(
-                forward=self._exchange.pass_on,
-                ask_peer=lambda vm_id: self._exchange.ask_catalogue(
+                forward=self._peer_client.forward_records,
+                ask_peer=lambda vm_id: self._peer_client.request_catalogue(
                     vm_id,
                     self._catalogue,
                 ),
@@ -207,32 +209,32 @@
     def _build_callers_side(self) -> None:
         environment = self.environment
         settings = environment.settings
-        routes = HolderRoutes(settings.id, self.views, self._holders, self._links)
-        self._permits = PermitDesk(environment, routes)
-        keyed = KeyedRequests(
+        routes = HolderRouter(settings.id, self.views, self._holders, self._links)
+        self._permits = PermitClient(environment, routes)
+        keyed = IdempotencyKeyHandler(
             environment,
             self._claims,
             self._answers,
-            self._exchange.find_answer,
+            self._peer_client.find_answer,
             lambda: self._health.reachable,
         )
-        crashes = CrashReports(
+        crash_reporter = CrashReporter(
             environment,
             self.views,
-            self.desk,
+            self.decisions,
             self._engines,
             self._publish_crash,
         )
         self._caller_app = build_caller_app(
-            CallerParts(
+            CallerAppDependencies(
                 environment=environment,
                 views=self.views,
-                desk=self.desk,
+                decisions=self.decisions,
                 permits=self._permits,
                 connections=self._connections,
-                hangups=self._hangups,
-                admitted=AdmittedRequests(environment, self.desk, keyed),
-                crashes=crashes,
+                disconnects=self._disconnects,
+                lifecycle=RequestLifecycle(environment, self.decisions, keyed),
+                crash_reporter=crash_reporter,
             )
         )
         self._callers = HttpListener(
@@ -264,9 +266,9 @@
         dump.add_actor("catalogue", self._catalogue, DumpCatalogue())
         dump.add_actor("leases", self._leases, DumpLeases())
         dump.add_actor("claims", self._claims, DumpClaims())
-        dump.add_actor("load_turns", self._load_turns, DumpLoadTurns())
+        dump.add_actor("load_turns", self._load_grants, DumpLoadGrants())
         dump.add("engines", self._holders.dump)
-        dump.add("decisions", self.desk.dump)
+        dump.add("decisions", self.decisions.dump)
         dump.add("permits_in_use", lambda: self._permits.held_count())
         dump.add("links", lambda: as_json(self._links.link_states()))
         dump.add(
@@ -323,25 +325,25 @@
             PeerTargets(
                 catalogue=self._catalogue,
                 membership=self._membership,
-                load_turns=self._load_turns,
+                load_grants=self._load_grants,
                 holders=self._holders,
                 permits=self._permits,
-                desk=self.desk,
+                decisions=self.decisions,
                 answers=self._answers,
-                give_turn=self._turn_routes.give,
+                deliver_load_grant=self._load_grant_router.deliver,
             ),
         )
         self._links.start(handler.on_request, handler.on_notice)
         self._callers.start()
         self._admin.start()
-        self._hangups.start()
+        self._disconnects.start()
         self._list_reader.start()
         for follower in self._followers:
             follower.start()
         self._ticker.add(self._leases, TICK_S)
         for actor in (
             self._membership,
-            self._load_turns,
+            self._load_grants,
             self._catalogue,
             self._claims,
         ):
@@ -380,42 +382,42 @@
             appender.stop()
         self._links.stop()
         pykka.ActorRegistry.stop_all(block=True, timeout=2.0)
-        self._hangups.stop()
+        self._disconnects.stop()
         self._connections.close()
         self._http.close()
 
     # Joints between the tasks; called from their threads, so they only tell.
 
     def _on_membership(self) -> None:
-        self.desk.on_membership()
+        self.decisions.on_membership()
         self._holders.on_membership()
 
     def _on_held(self, engine_id: str, fencing: int, valid: Any) -> None:
         if engine_id == WEIGHT_STORE:
-            tell(self._load_turns, SchedulerLeaseChanged(fencing, valid))
+            tell(self._load_grants, SchedulerLeaseChanged(fencing, valid))
             tell(self._catalogue, SnapshotRoleChanged(is_writer=True))
             return
         self._holders.start(engine_id, fencing, valid, self._holder_links)
 
     def _on_lost(self, engine_id: str) -> None:
         if engine_id == WEIGHT_STORE:
-            tell(self._load_turns, SchedulerLeaseChanged(None, lambda: False))
+            tell(self._load_grants, SchedulerLeaseChanged(None, lambda: False))
             tell(self._catalogue, SnapshotRoleChanged(is_writer=False))
             return
         self._holders.stop(engine_id, self._holder_links)
 
-    def _ask_permits_held(self, engine_id: str) -> None:
+    def _request_permits_held(self, engine_id: str) -> None:
         holder = self._holders.find(engine_id)
         if holder is not None:
-            held = self._permits.held_on(engine_id)
-            self._exchange.ask_permits(engine_id, held, holder)
+            held = self._permits.permits_on(engine_id)
+            self._peer_client.request_permits(engine_id, held, holder)
 
     def _publish_crash(self, notice: CrashNotice) -> None:
         appender = self._appender_by_stream[NOTICE_STREAM]
-        self._exchange.publish_crash(notice, appender.append)
+        self._peer_client.publish_crash(notice, appender.append)
 
     def _read_crashes(self, batch: RecordBatch) -> None:
         for record in batch.records:
             notice = read_crash_notice(record.value)
             if notice is not None:
-                self.desk.on_crash(notice)
+                self.decisions.on_crash(notice)
--- a/bench/guards.py
+++ b/bench/guards.py
@@ -134,7 +134,7 @@
         "test_two_entry_vms_get_one_key_at_once",
         (
             Change(
-                "bamboovale/entry/keyed.py",
+                "bamboovale/entry/idempotency_keys.py",
                 "        if outcome.verdict is Verdict.WON:",
                 "        if outcome.verdict:",
             ),
@@ -152,7 +152,7 @@
                 "        return vm is None",
             ),
             Change(
-                "bamboovale/entry/desk.py",
+                "bamboovale/entry/decision_facade.py",
                 'if vm.state == "live"]',
                 "]",
             ),
@@ -195,7 +195,7 @@
         "test_an_entry_vm_starts_during_an_outage_of_the_log",
         (
             Change(
-                "bamboovale/entry/holder_links.py",
+                "bamboovale/entry/holder_router.py",
                 "        return None if received is None else received.from_vm",
                 "        return None",
             ),
--- a/tests/test_engine_holder.py
+++ b/tests/test_engine_holder.py
@@ -12,7 +12,7 @@
 from bamboovale.decisions.work import EngineView
 from bamboovale.engines.client import EngineAddress
 from bamboovale.engines.holder import EngineHolder
-from bamboovale.engines.messages import AskReceived, ViewRead
+from bamboovale.engines.messages import PermitRequestReceived, ViewRead
 from bamboovale.environment import Environment
 from bamboovale.metrics import Metrics
 from bamboovale.peers.messages import PermitReply, PermitRequest
@@ -22,7 +22,7 @@
 class PlayedOrders:
     """An engine of which the test says what it answers."""
 
-    def allowed(self) -> bool:
+    def lease_valid(self) -> bool:
         return True
 
     def read_view(self, actor: Any, make_message: Any) -> None:
@@ -35,10 +35,10 @@
 class PlayedTurns:
     """A weight store whose turn never comes."""
 
-    def ask(self, engine_id: str, lora_name: str, weight: float) -> None:
+    def request(self, engine_id: str, lora_name: str, weight: float) -> None:
         """Leave the ask unanswered."""
 
-    def end(self, turn: Any, *, used: bool, loaded: bool) -> None:
+    def release(self, grant: Any, *, used: bool, loaded: bool) -> None:
         """Take a turn back."""
 
 
@@ -60,7 +60,7 @@
             config=DispatchConfig("g1", "base", fencing=1),
             policy=Policy.chosen(),
             orders=orders,
-            load_turns=PlayedTurns(),
+            load_grants=PlayedTurns(),
             on_hint=lambda hint: None,
             log_is_down=lambda: False,
         )
@@ -90,7 +90,7 @@
             fingerprint="f",
             exclusive=False,
         )
-        self.actor.ask(AskReceived("e1", ask, self.replies.append))
+        self.actor.ask(PermitRequestReceived("e1", ask, self.replies.append))
 
     def sent_elsewhere(self) -> list[str]:
         return [reply.request_id for reply in self.replies if reply.elsewhere]
--- a/tests/test_entry_holders.py
+++ b/tests/test_entry_engine_holders.py
@@ -1,4 +1,4 @@
-"""Holders of engines: when they start, and with which settings of their pool."""
+"""EngineHolders of engines: when they start, and with which settings of their pool."""
 
 from collections.abc import Iterator
 from types import SimpleNamespace
@@ -10,7 +10,7 @@
 from bamboovale.actors import Ticker
 from bamboovale.catalogue.entries import PoolEntry
 from bamboovale.decisions.policy import Policy
-from bamboovale.entry.holders import HolderLinksToVM, Holders
+from bamboovale.entry.engine_holders import EngineHolders, HolderCallbacks
 from bamboovale.environment import Environment
 from bamboovale.membership.view import Membership
 from bamboovale.models import VM, VMKind
@@ -29,18 +29,18 @@
 
 
 class Deployment:
-    """Holders of one VM, with a catalogue that the test edits."""
+    """EngineHolders of one VM, with a catalogue that the test edits."""
 
     def __init__(self) -> None:
         self.views = Views(membership=Membership([ENGINE]))
         self.started: list[str] = []
-        self.links = HolderLinksToVM(
-            load_turns=SimpleNamespace(),
+        self.links = HolderCallbacks(
+            load_grants=SimpleNamespace(),
             on_hint=lambda hint: None,
             on_started=self.started.append,
             on_stopped=lambda engine_id: None,
         )
-        self.holders = Holders(
+        self.holders = EngineHolders(
             Environment.from_settings(Settings(id="e1")),
             self.views,
             Policy.chosen(),
--- a/tests/test_entry_keyed.py
+++ b/tests/test_entry_idempotency_keys.py
@@ -11,9 +11,9 @@
 from bamboovale.claims.answers import AnswerState, AnswerStore, StoredAnswer
 from bamboovale.claims.fold import ClaimOutcome, KeyInfo, KeyState, Verdict
 from bamboovale.claims.records import Answered, Released
+from bamboovale.entry.caller_answer import AnswerOutcome, CallerAnswer
 from bamboovale.entry.caller_request import CallerRequest
-from bamboovale.entry.ending import CallerAnswer, Ending
-from bamboovale.entry.keyed import KeyedRequests
+from bamboovale.entry.idempotency_keys import IdempotencyKeyHandler
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
 from bamboovale.metrics import Metrics
@@ -54,7 +54,7 @@
         self.runs = 0
         self.answers = AnswerStore()
         self.claims = PlayedClaims.start(verdict, state)
-        self.keyed = KeyedRequests(
+        self.keyed = IdempotencyKeyHandler(
             Environment(
                 Settings(id="e1", failure_domain="muc-a"),
                 Metrics(),
@@ -69,7 +69,7 @@
     def answer(self, result: CallerAnswer | None = None) -> CallerAnswer:
         def run() -> CallerAnswer:
             self.runs += 1
-            return result or CallerAnswer.whole(201, [("X-Own", "1")], b"booked")
+            return result or CallerAnswer.complete(201, [("X-Own", "1")], b"booked")
 
         return self.keyed.answer(request(), "r.1", "lernwerk", run)
 
@@ -98,7 +98,7 @@
 
 
 def code_of(answer: CallerAnswer) -> str:
-    return answer.ending.code
+    return answer.outcome.code
 
 
 class TestWinner:
@@ -140,7 +140,7 @@
             raise ConnectionError
 
         keyed = Keyed()
-        answer = keyed.answer(CallerAnswer(200, [], chunks(), Ending()))
+        answer = keyed.answer(CallerAnswer(200, [], chunks(), AnswerOutcome()))
         with pytest.raises(ConnectionError):
             list(answer.chunks)
         assert keyed.answers.find("r.1").state is AnswerState.UNKNOWN
@@ -187,7 +187,7 @@
         keyed = Keyed(verdict, kept=kept)
         answer = keyed.answer()
         assert code_of(answer) == code.value
-        assert (answer.ending.state is AnswerState.NOT_RUN) is not_run
+        assert (answer.outcome.state is AnswerState.NOT_RUN) is not_run
         assert keyed.runs == 0
 
 
@@ -204,5 +204,5 @@
         answer = keyed.answer()
         assert time.monotonic() - begun < 0.5
         assert code_of(answer) == ErrorCode.LOG_UNAVAILABLE.value
-        assert answer.ending.state is AnswerState.NOT_RUN
+        assert answer.outcome.state is AnswerState.NOT_RUN
         assert keyed.runs == 0
--- a/tests/test_entry_permits.py
+++ b/tests/test_entry_permits.py
@@ -8,12 +8,12 @@
 
 from bamboovale.decisions.work import Permit, WorkItem
 from bamboovale.entry.permits import (
-    CallerGone,
-    Hangup,
+    CallerDisconnected,
+    DisconnectSignal,
     HeldPermit,
-    Outdated,
-    PermitDesk,
-    TryElsewhere,
+    PermitClient,
+    TryAnotherEngine,
+    VersionOutdated,
 )
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
@@ -54,11 +54,13 @@
     def fencing_of(self, engine_id: str) -> int:
         return self.fencing
 
-    def ask(self, holder: str, ask: PermitRequest, timeout_s: float) -> "Future[Any]":
+    def request_permit(
+        self, holder: str, request: PermitRequest, timeout_s: float
+    ) -> "Future[Any]":
         self.asked.set()
         return self.future
 
-    def tell(self, holder: str, message: Any) -> None:
+    def notify(self, holder: str, message: Any) -> None:
         self.told.append(message)
 
     def told_of(self, kind: type) -> list[Any]:
@@ -92,8 +94,8 @@
             now=self.clock,
         )
         self.links = FakeLinks()
-        self.desk = PermitDesk(environment, self.links)
-        self.hangup = Hangup()
+        self.desk = PermitClient(environment, self.links)
+        self.disconnect = DisconnectSignal()
         self.wanted = True
         self.item = WorkItem(
             request_id="r.1",
@@ -107,7 +109,7 @@
         )
 
     def acquire(self) -> Any:
-        return self.desk.acquire(self.item, "g1", self.hangup, lambda: self.wanted)
+        return self.desk.acquire(self.item, "g1", self.disconnect, lambda: self.wanted)
 
     def acquire_later(self) -> "Future[Any]":
         done: Future[Any] = Future()
@@ -125,7 +127,7 @@
         desk.links.future.set_result(PermitReply("r.1", permit=permit()))
         held = desk.acquire()
         assert isinstance(held, HeldPermit)
-        assert desk.desk.held_on("g1") == (held.permit,)
+        assert desk.desk.permits_on("g1") == (held.permit,)
 
     def test_a_refusal(self) -> None:
         desk = Desk()
@@ -138,32 +140,32 @@
     def test_no_holder(self) -> None:
         desk = Desk()
         desk.links.holder = None
-        assert isinstance(desk.acquire(), TryElsewhere)
+        assert isinstance(desk.acquire(), TryAnotherEngine)
 
     def test_a_lost_link_cancels_the_ask(self) -> None:
         desk = Desk()
         desk.links.future.set_exception(ConnectionError("lost"))
-        assert isinstance(desk.acquire(), TryElsewhere)
+        assert isinstance(desk.acquire(), TryAnotherEngine)
         assert desk.links.told_of(PermitCancel)
 
     def test_a_hangup(self) -> None:
         desk = Desk()
         done = desk.acquire_later()
-        desk.hangup.signal()
-        assert isinstance(done.result(2.0), CallerGone)
+        desk.disconnect.trigger()
+        assert isinstance(done.result(2.0), CallerDisconnected)
         assert desk.links.told_of(PermitCancel)
 
     def test_a_lease_that_moves(self) -> None:
         desk = Desk()
         done = desk.acquire_later()
         desk.links.holder = "e3"
-        assert isinstance(done.result(2.0), TryElsewhere)
+        assert isinstance(done.result(2.0), TryAnotherEngine)
 
     def test_a_catalogue_that_names_another_version(self) -> None:
         desk = Desk()
         done = desk.acquire_later()
         desk.wanted = False
-        assert isinstance(done.result(2.0), Outdated)
+        assert isinstance(done.result(2.0), VersionOutdated)
 
     def test_a_holder_that_never_answers(self) -> None:
         desk = Desk()
@@ -184,7 +186,7 @@
     def test_it_is_released(self) -> None:
         desk = Desk()
         done = desk.acquire_later()
-        desk.hangup.signal()
+        desk.disconnect.trigger()
         done.result(2.0)
         desk.links.future.set_result(PermitReply("r.1", permit=permit()))
         released = desk.links.told_of(PermitRelease)
@@ -226,5 +228,5 @@
         desk = Desk()
         desk.links.fencing = 6
         desk.links.future.set_result(PermitReply("r.1", permit=permit(fencing=5)))
-        assert isinstance(desk.acquire(), TryElsewhere)
+        assert isinstance(desk.acquire(), TryAnotherEngine)
         assert desk.desk.held_count() == 0
--- a/tests/test_model_requests.py
+++ b/tests/test_model_requests.py
@@ -11,11 +11,11 @@
 from bamboovale.catalogue.fold import Catalogue
 from bamboovale.claims.answers import AnswerState
 from bamboovale.decisions.work import Permit
+from bamboovale.entry.caller_answer import CallerAnswer
 from bamboovale.entry.caller_request import CallerRequest
-from bamboovale.entry.ending import CallerAnswer
 from bamboovale.entry.engine_run import RunFailedError, RunFailure
 from bamboovale.entry.model_requests import ModelRequests
-from bamboovale.entry.permits import CallerGone, HeldPermit, TryElsewhere
+from bamboovale.entry.permits import CallerDisconnected, HeldPermit, TryAnotherEngine
 from bamboovale.environment import Environment
 from bamboovale.errors import ErrorCode, Refusal
 from bamboovale.metrics import Metrics
@@ -41,7 +41,7 @@
     """What a model request meets; each end is played by the test."""
 
     def __init__(self) -> None:
-        self.hangup: Any = None
+        self.disconnect: Any = None
         self.permit_answers: list[Any] = []
         self.run_endings: list[Any] = []
         self.released = 0
@@ -62,13 +62,13 @@
             return "g1"
         return next((name for name in self.engines if name not in excluded), None)
 
-    def may_repeat(self) -> bool:
+    def may_retry(self) -> bool:
         return True
 
     # The permits.
 
-    def acquire(self, item: Any, engine: str, hangup: Any, wanted: Any) -> Any:
-        self.hangup = hangup
+    def acquire(self, item: Any, engine: str, disconnect: Any, wanted: Any) -> Any:
+        self.disconnect = disconnect
         answer = self.permit_answers.pop(0)
         return answer(item) if callable(answer) else answer
 
@@ -77,13 +77,13 @@
 
     # The runs.
 
-    def run(self, order: Any, request: Any, hangup: Any) -> CallerAnswer:
-        ending = self.run_endings.pop(0)
-        if callable(ending):
-            ending = ending()
-        if isinstance(ending, Exception):
-            raise ending
-        return ending
+    def run(self, order: Any, request: Any, disconnect: Any) -> CallerAnswer:
+        outcome = self.run_endings.pop(0)
+        if callable(outcome):
+            outcome = outcome()
+        if isinstance(outcome, Exception):
+            raise outcome
+        return outcome
 
     # Hang-ups, admission, crashes.
 
@@ -163,11 +163,11 @@
         )
 
     def hang_up_and_break(self) -> RunFailedError:
-        self.played.hangup.gone = True
+        self.played.disconnect.disconnected = True
         return RunFailedError(RunFailure.BROKEN, "aborted")
 
 
-DONE = CallerAnswer.whole(200, [], b"{}")
+DONE = CallerAnswer.complete(200, [], b"{}")
 
 
 class TestHangup:
@@ -180,14 +180,14 @@
 
     def test_a_hangup_in_the_queue_was_not_run(self) -> None:
         world = World()
-        world.played.permit_answers = [CallerGone()]
-        assert world.answer().ending.state is AnswerState.NOT_RUN
+        world.played.permit_answers = [CallerDisconnected()]
+        assert world.answer().outcome.state is AnswerState.NOT_RUN
 
     def test_a_hangup_during_the_run_is_unknown(self) -> None:
         world = World()
         world.played.permit_answers = [grant]
         world.played.run_endings = [world.hang_up_and_break]
-        assert world.answer().ending.state is AnswerState.UNKNOWN
+        assert world.answer().outcome.state is AnswerState.UNKNOWN
 
 
 class TestBrokenRun:
@@ -204,7 +204,7 @@
         world.played.permit_answers = [grant]
         world.played.run_endings = [RunFailedError(RunFailure.BROKEN, "x")]
         answer = world.answer(idempotent=False)
-        assert answer.ending.code == ErrorCode.OUTCOME_UNKNOWN.value
+        assert answer.outcome.code == ErrorCode.OUTCOME_UNKNOWN.value
 
     def test_one_that_surely_did_not_run_goes_on_all_the_same(self) -> None:
         world = World()
@@ -223,8 +223,8 @@
 
         world.played.run_endings = [break_and_stop_serving]
         answer = world.answer()
-        assert answer.ending.code == ErrorCode.NOT_READY.value
-        assert answer.ending.state is AnswerState.UNKNOWN
+        assert answer.outcome.code == ErrorCode.NOT_READY.value
+        assert answer.outcome.state is AnswerState.UNKNOWN
 
 
 class TestNewVersion:
@@ -267,7 +267,7 @@
         world = World()
         world.played.engines = ("g1", "g2")
         refusal = Refusal(ErrorCode.LOG_UNAVAILABLE, "not loaded", not_run=True)
-        nobody = TryElsewhere("the engine has no lease holder")
+        nobody = TryAnotherEngine("the engine has no lease holder")
         world.played.permit_answers = [refusal, nobody, refusal, grant]
         world.played.run_endings = [DONE]
         assert world.answer().status == 200
@@ -277,4 +277,4 @@
         world.played.engines = ("g1", "g2")
         refusal = Refusal(ErrorCode.LOG_UNAVAILABLE, "not loaded", not_run=True)
         world.played.permit_answers = [refusal, refusal]
-        assert world.answer().ending.code == ErrorCode.LOG_UNAVAILABLE.value
+        assert world.answer().outcome.code == ErrorCode.LOG_UNAVAILABLE.value
