--- a/bamboovale/decisions/dispatch.py
+++ b/bamboovale/decisions/dispatch.py
@@ -17,8 +17,6 @@
 from typing import Any
 
 from bamboovale.decisions.batching import QUEUE_BYTES, QUEUE_ITEMS, WaitQueue
-from bamboovale.decisions.slot_planner import SlotPlanner
-from bamboovale.decisions.slot_forecast import SlotForecast
 from bamboovale.decisions.permits import PermitBook
 from bamboovale.decisions.policy import Policy
 from bamboovale.decisions.refusals import (
@@ -27,6 +25,8 @@
     refuse_leaving,
     refuse_unloadable,
 )
+from bamboovale.decisions.slot_forecast import SlotForecast
+from bamboovale.decisions.slot_planner import SlotPlanner
 from bamboovale.decisions.wait_forecast import WaitForecast
 from bamboovale.decisions.work import (
     Action,
--- a/bamboovale/decisions/slot_planner.py
+++ b/bamboovale/decisions/slot_planner.py
@@ -16,6 +16,7 @@
 from dataclasses import dataclass
 from typing import Any
 
+from bamboovale.decisions.adapter_value import AdapterValue
 from bamboovale.decisions.batching import WaitQueue
 from bamboovale.decisions.estimates import MovingAverage
 from bamboovale.decisions.permits import PermitBook
@@ -29,14 +30,13 @@
 )
 from bamboovale.decisions.work import (
     Action,
-    RequestLoadGrant,
     EngineView,
     Load,
+    RequestLoadGrant,
     ReturnLoadGrant,
     Unload,
     WorkItem,
 )
-from bamboovale.decisions.adapter_value import AdapterValue
 
 LOADS_AT_ONCE = 2
 """As many as the weight store serves at full speed: more only share its bandwidth."""
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -95,7 +95,9 @@
         if handler is not None:
             handler(sender, message)
 
-    def _on_permit_request(self, sender: str, request: PermitRequest, reply: Reply) -> None:
+    def _on_permit_request(
+        self, sender: str, request: PermitRequest, reply: Reply
+    ) -> None:
         deliver_permit_request(self._targets.holders, sender, request, reply)
 
     def _on_holder_notice(self, sender: str, message: Any) -> None:
--- a/bench/virtual_time.py
+++ b/bench/virtual_time.py
@@ -13,7 +13,7 @@
 from functools import partial
 
 from bamboovale.decisions.dispatch import DispatchConfig, EngineDispatch
-from bamboovale.decisions.load_scheduler import LoadConfig, LoadScheduler, LoadGrant
+from bamboovale.decisions.load_scheduler import LoadConfig, LoadGrant, LoadScheduler
 from bamboovale.decisions.placement import (
     EnginePlacement,
     EngineSite,
@@ -22,13 +22,13 @@
 from bamboovale.decisions.policy import Policy
 from bamboovale.decisions.work import (
     Action,
-    RequestLoadGrant,
     EngineHint,
     EngineView,
     Grant,
     Load,
     Permit,
     Refuse,
+    RequestLoadGrant,
     ReturnLoadGrant,
     Unload,
     WorkItem,
