--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -452,7 +452,7 @@
         reply(answer)
 
     owner = site.vms[0].vm._engines.owner_by_engine[engine_id]
-    owner.ask = refuse  # type: ignore[method-assign]
+    owner.request_place = refuse  # type: ignore[method-assign]
     return asked
 
 
