--- a/bamboovale/gateway/__init__.py
+++ b/bamboovale/gateway/__init__.py
@@ -1,4 +1,5 @@
-"""The routed interface of an entry VM: hosts and paths lead to engines and services.
+"""The routed interface of an entry VM: routes hosts and paths to engines and services.
 
-Everything here speaks the project's own types; ``bamboovale.platform`` translates.
+This package uses the project's own types only; ``bamboovale.platform`` converts them
+to and from the platform's formats.
 """
--- a/bamboovale/gateway/call.py
+++ b/bamboovale/gateway/call.py
@@ -1,4 +1,4 @@
-"""One request of a caller on its way, and the ways in which it can end."""
+"""A caller's request while it is handled, and the errors that can end it."""
 
 from dataclasses import dataclass, field
 from typing import Any, Protocol
@@ -11,7 +11,7 @@
 
 
 class CallCodec(Protocol):
-    """Puts requests and answers into the wire's format."""
+    """Encodes and decodes requests and answers in the wire format."""
 
     def decode_call(self, request: Request) -> CallFacts:
         """Read a caller's headers; raises BadRequest."""
@@ -37,11 +37,11 @@
         retry_after_s: float | None,
         request_id: str | None,
     ) -> Headers:
-        """Return the headers of an answer of our own."""
+        """Return the headers of an answer that the entry VM itself gives."""
 
 
 class CallRefused(Exception):  # noqa: N818 - reads as what happened
-    """The request has not run and will not run; the caller may come back."""
+    """The request did not run and will not run; the caller may retry."""
 
     def __init__(self, reason: str, retry_after_s: float) -> None:
         super().__init__(reason)
@@ -54,10 +54,10 @@
 
 @dataclass
 class Call:
-    """A request with its route; times are the event loop's.
+    """A request with its route; timestamps are those of the event loop.
 
-    ``deadline`` is when the caller or the route stops waiting. ``notes`` collects
-    what the log line of the request tells.
+    ``deadline`` is when the caller or the route stops waiting. ``notes`` collects the
+    fields of the request's log line.
     """
 
     request: Request
@@ -71,15 +71,15 @@
 
     @property
     def goal_at(self) -> float:
-        """Return until when an answer is worth most."""
+        """Return the time until which an answer has its full value."""
         return self.request.received_at + self.route.goal_s
 
     def left_s(self, now: float) -> float:
-        """Return for how long somebody still waits."""
+        """Return the seconds left until the deadline, at least 0."""
         return max(0.0, self.deadline - now)
 
     def note_attempt(self, **fields: Any) -> dict[str, Any]:
-        """Add one attempt to the log line; the returned map may be completed."""
+        """Add an attempt to the log line; returns its fields for later additions."""
         self.attempts += 1
         self.notes.setdefault("attempts", []).append(fields)
         return fields
--- a/bamboovale/gateway/crashes.py
+++ b/bamboovale/gateway/crashes.py
@@ -1,4 +1,4 @@
-"""Requests that crash the endpoints that run them, as seen at this entry VM."""
+"""Detection of requests that crash the endpoints that run them."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -11,50 +11,50 @@
 
 
 class CrashGuard:
-    """Notes who ran where when an endpoint broke off, and tells the other VMs."""
+    """Counts the endpoints at which a request's run was cut; notifies the other VMs."""
 
     def __init__(
         self,
         journal: Journal,
         now: Callable[[], float],
-        tell: Callable[[SuspectSeen], None],
+        broadcast: Callable[[SuspectSeen], None],
     ) -> None:
         self._journal = journal
         self._now = now
-        self._tell = tell
+        self._broadcast = broadcast
         self._counts = CrashCounts()
 
     def is_blocked(self, fingerprint: str) -> bool:
-        """Tell whether this request has crashed too many endpoints."""
+        """Return whether this request has crashed too many endpoints."""
         return self._counts.refuses(fingerprint, self._now())
 
     def on_notice(self, notice: SuspectSeen) -> None:
-        """Take what another VM has seen."""
+        """Count a cut run that another VM observed."""
         self._counts.on_cut(notice.fingerprint, notice.endpoint_id, self._now())
 
     def on_endpoint_gone(self, endpoint_id: str) -> None:
-        """Take the end of an endpoint that did not say that it leaves."""
+        """Record that an endpoint ended without announcing that it leaves."""
         self._counts.on_endpoint_gone(endpoint_id, self._now())
 
     @contextmanager
     def track(self, fingerprint: str, call: Call) -> Iterator[None]:
-        """Note the endpoints at which the run broke off; clear it if it ends well."""
+        """Record the endpoints at which the run was cut; clear them on an answer."""
         try:
             yield
         except (CallFailed, StreamCut):
-            self._note(fingerprint, call)
+            self._record_cuts(fingerprint, call)
             raise
         else:
-            self._note(fingerprint, call)
+            self._record_cuts(fingerprint, call)
             self._counts.on_answered(fingerprint)
 
-    def _note(self, fingerprint: str, call: Call) -> None:
+    def _record_cuts(self, fingerprint: str, call: Call) -> None:
         for attempt in call.notes.get("attempts", []):
-            if "failed" not in attempt or not _broke_off(attempt["failed"]):
+            if "failed" not in attempt or not _is_cut(attempt["failed"]):
                 continue
             endpoint_id = attempt["endpoint"]
             self._counts.on_cut(fingerprint, endpoint_id, self._now())
-            self._tell(SuspectSeen(fingerprint, endpoint_id))
+            self._broadcast(SuspectSeen(fingerprint, endpoint_id))
             self._journal.write(
                 "run_broke_off",
                 id=call.facts.request_id,
@@ -63,5 +63,5 @@
             )
 
 
-def _broke_off(reason: str) -> bool:
+def _is_cut(reason: str) -> bool:
     return reason.startswith(("no answer: ", "stream cut: ", "answer cut: "))
--- a/bamboovale/gateway/endpoint_client.py
+++ b/bamboovale/gateway/endpoint_client.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one endpoint."""
+"""HTTP client for endpoints: sends one attempt of a request to one endpoint."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -11,16 +11,16 @@
 from bamboovale.http1.connection import AnswerBroken, ConnectFailed, Connection
 from bamboovale.http1.pool import ConnectionPool
 
-STRAY_ANSWERS = 2
-"""Answers of earlier requests that are skipped on one connection."""
-MOST_BUFFERED_BYTES = 8 * 1024 * 1024
-"""Of a plain answer, which is passed on only once it is whole."""
+MAX_STALE_ANSWERS = 2
+"""Answers to earlier requests that are skipped on one connection."""
+MAX_BUFFERED_BYTES = 8 * 1024 * 1024
+"""Limit of an answer that is buffered whole before it is forwarded."""
 
 
 class NotRun(Exception):  # noqa: N818 - reads as what happened
     """The endpoint did not run the request, or was never reached.
 
-    ``reached`` tells whether it got there: such an arrival counts as a try.
+    ``reached`` tells whether the request arrived there, which counts as a retry.
     """
 
     def __init__(
@@ -38,25 +38,28 @@
 
 
 class MayHaveRun(Exception):  # noqa: N818 - reads as what happened
-    """The request was sent and no proper answer came."""
+    """The request was sent and no valid answer was received."""
 
 
 @dataclass
 class EndpointAnswer:
-    """An answer that has begun."""
+    """An answer whose head was received; its body is read from the connection."""
 
     connection: Connection
     facts: AnswerFacts
 
     async def read_body(self) -> bytes:
-        """Return the rest of the answer; raises MayHaveRun if it is cut short."""
+        """Return the rest of the body.
+
+        Raises MayHaveRun if it is cut short or exceeds ``MAX_BUFFERED_BYTES``.
+        """
         parts = []
         size = 0
         try:
             while (data := await self.connection.data()) is not None:
                 parts.append(data)
                 size += len(data)
-                if size > MOST_BUFFERED_BYTES:
+                if size > MAX_BUFFERED_BYTES:
                     raise MayHaveRun("the answer is too large")
         except AnswerBroken as error:
             raise MayHaveRun(f"answer cut: {error}") from error
@@ -64,7 +67,7 @@
 
 
 class EndpointClient:
-    """Sends requests to endpoints over kept connections."""
+    """Sends requests to endpoints over pooled connections."""
 
     def __init__(self, pool: ConnectionPool, codec: CallCodec) -> None:
         self._pool = pool
@@ -119,9 +122,9 @@
 
     @contextmanager
     def closing(self, record: EndpointRecord, connection: Connection) -> Iterator[None]:
-        """Keep the connection after a whole answer; close it in every other case.
+        """Return the connection to the pool after a whole answer, else close it.
 
-        Closing tells the endpoint that nobody waits for the run any more.
+        Closing tells the endpoint that the run's answer is no longer needed.
         """
         try:
             yield
@@ -129,8 +132,8 @@
             self._pool.give_back(record.endpoint_id, connection)
 
     async def _own_head(self, connection: Connection, request_id: str) -> AnswerFacts:
-        """Return the head of our answer, past answers to earlier requests."""
-        for _ in range(STRAY_ANSWERS + 1):
+        """Return the head of the answer to this request, skipping stale answers."""
+        for _ in range(MAX_STALE_ANSWERS + 1):
             facts = self._codec.decode_answer(await connection.head())
             if facts.request_id in (None, request_id):
                 return facts
--- a/bamboovale/gateway/endpoints.py
+++ b/bamboovale/gateway/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints that live, as one entry VM believes."""
+"""The live endpoints as known to one entry VM."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class EndpointChange:
-    """An endpoint that came, changed or (``record`` None) went."""
+    """An endpoint that was added, changed or (``record`` None) removed."""
 
     endpoint_id: str
     record: EndpointRecord | None
@@ -19,14 +19,13 @@
 
 
 class EndpointView:
-    """All records by id and by service; tells listeners of each change.
+    """All endpoint records by id and by service; notifies listeners of each change.
 
-    An endpoint may start again under the id that it had. Its new start is another
-    endpoint here: the one before is gone, with everything that was kept of it.
+    A restart under the same registered id is a new endpoint: the previous one is
+    removed together with all state kept for it.
 
-    While the store is away, and until a moment after its return, nobody is taken for
-    gone because a record is missing: records lapse meanwhile and come back. Where the
-    store is away for us alone, other VMs' word that it is settled counts.
+    A missing record removes an endpoint only while the store is settled (see
+    ``StoreWatch``): in an outage records expire and are written again afterwards.
     """
 
     def __init__(self, journal: Journal, store: StoreWatch) -> None:
@@ -44,11 +43,11 @@
 
     @property
     def record_by_id(self) -> Mapping[str, EndpointRecord]:
-        """Return every record, one start of each endpoint."""
+        """Return all records by endpoint id, one start of each endpoint."""
         return self._record_by_id
 
     def ready(self, service: str) -> list[EndpointRecord]:
-        """Return the endpoints of a service that take new work."""
+        """Return the endpoints of a service that accept new work."""
         return [
             record
             for record in self._record_by_id.values()
@@ -56,9 +55,9 @@
         ]
 
     def on_record(self, registered_id: str, record: EndpointRecord | None) -> bool:
-        """Take a record, or (None) its removal; False if it changes nothing."""
+        """Apply a record, or (None) its removal; returns False if nothing changes."""
         if record is None:
-            self._lapse(registered_id)
+            self._expire(registered_id)
             return True
         before = self._current(registered_id)
         if before is not None and record.is_start_before(before):
@@ -68,7 +67,7 @@
                 known=before.endpoint_id,
             )
             return False
-        returned = registered_id in self._expired
+        was_expired = registered_id in self._expired
         self._expired.discard(registered_id)
         if before is not None and before.endpoint_id != record.endpoint_id:
             self._drop(registered_id)
@@ -76,17 +75,16 @@
         self._record_by_id[record.endpoint_id] = record
         self._id_by_registration[registered_id] = record.endpoint_id
         if before is not None and replace(before, models=record.models) == record:
-            # Adapters come and go with every heartbeat; their owners tell of them.
-            return returned
-        self._note_change(before, record)
+            # Adapters change with every heartbeat; engine owners publish them.
+            return was_expired
+        self._log_change(before, record)
         return True
 
     def on_unreadable_record(self, registered_id: str, finding: str) -> bool:
-        """Take a record that names no endpoint to use; False if nothing changes.
+        """Apply a record that cannot be decoded; returns False if nothing changes.
 
-        Guards against work for an endpoint whose record somebody else has overwritten:
-        what we knew may no longer hold. It gets no new work until it registers again,
-        with its next heartbeat; what runs there goes on.
+        Guards against sending work to an endpoint whose record was overwritten: it gets
+        no new work until its next heartbeat registers it again; current runs go on.
         """
         self._journal.write("bad_record", key=registered_id, error=finding)
         known = self._current(registered_id)
@@ -95,9 +93,9 @@
         return self.on_record(registered_id, replace(known, ready=False))
 
     def on_restart(self, record: EndpointRecord, started_ms: int) -> None:
-        """Take an endpoint's own word that it has started since it registered.
+        """Apply a restart that an endpoint's report shows before its record does.
 
-        It holds nothing; its record says so with the next heartbeat.
+        The restarted endpoint holds no models.
         """
         known = self._current(record.registered_id)
         if known is not None:
@@ -105,7 +103,7 @@
             self.on_record(record.registered_id, fresh)
 
     def expired_ids(self) -> set[str]:
-        """Return the ids of endpoints whose records lapsed in an outage."""
+        """Return the ids of endpoints whose records expired in a store outage."""
         return {self._id_by_registration[r] for r in self._expired}
 
     def registered_ids(self) -> set[str]:
@@ -113,14 +111,14 @@
         return set(self._id_by_registration)
 
     async def watch_expired(self, interval_s: float = 0.25) -> None:
-        """Take for gone what lapsed in an outage and did not come back."""
+        """Drop expired endpoints whenever the store is settled."""
         while True:
             await asyncio.sleep(interval_s)
             if self._store.is_settled():
                 self.drop_expired()
 
     def drop_expired(self) -> None:
-        """Drop what lapsed in an outage and has had the time to come back."""
+        """Drop endpoints whose records expired in an outage and were not renewed."""
         for registered_id in self._expired:
             self._drop(registered_id)
         self._expired.clear()
@@ -129,7 +127,7 @@
         endpoint_id = self._id_by_registration.get(registered_id)
         return None if endpoint_id is None else self._record_by_id[endpoint_id]
 
-    def _note_change(
+    def _log_change(
         self,
         before: EndpointRecord | None,
         record: EndpointRecord,
@@ -145,9 +143,9 @@
                 remaining_s=record.remaining_s,
             )
         was_ready = before is not None and before.ready
-        self._tell(EndpointChange(record.endpoint_id, record, was_ready))
+        self._notify(EndpointChange(record.endpoint_id, record, was_ready))
 
-    def _lapse(self, registered_id: str) -> None:
+    def _expire(self, registered_id: str) -> None:
         if registered_id not in self._id_by_registration:
             return
         if self._store.is_settled():
@@ -168,8 +166,8 @@
             return
         record = self._record_by_id.pop(endpoint_id)
         self._journal.write("endpoint_gone", endpoint=endpoint_id)
-        self._tell(EndpointChange(endpoint_id, None, record.ready))
+        self._notify(EndpointChange(endpoint_id, None, record.ready))
 
-    def _tell(self, change: EndpointChange) -> None:
+    def _notify(self, change: EndpointChange) -> None:
         for listener in self._listeners:
             listener(change)
--- a/bamboovale/gateway/engine_assignment.py
+++ b/bamboovale/gateway/engine_assignment.py
@@ -1,4 +1,4 @@
-"""Which engines this VM owns now, and standing in for owners that are lost."""
+"""Which engines this VM owns, and takeover of engines whose owner was lost."""
 
 import asyncio
 
@@ -13,14 +13,14 @@
 from bamboovale.gateway.stall_records import StallRecords
 from bamboovale.gateway.vm_state import VMState
 
-NOTES_LOOK_S = 1.0
-"""Between two looks whether a note on a pool has to be written anew."""
-STORE_AWAY_S = 1.5
-"""An outage of the store shorter than this ends before a lease does."""
+STALL_CHECK_INTERVAL_S = 1.0
+"""Interval of checks whether a stall record must be written."""
+STORE_OUTAGE_S = 1.5
+"""A shorter store outage ends before any lease expires."""
 
 
 class EngineAssignment:
-    """Starts and stops owners' tasks as the store and the fleet ask for it."""
+    """Starts and stops engine owners as the store assigns engines."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self._stall_records = stall_records
 
     def assign(self) -> bool:
-        """Begin to own the engines that the store gives us, end to own others.
+        """Own the engines that the store assigns to this VM and release the others.
 
         Returns whether anything changed.
         """
@@ -55,7 +55,7 @@
                 continue
             owner = EngineOwner(record, capacity, self._owner_context)
             owners[engine_id] = owner
-            self._assume(owner)
+            self._apply_known_stall(owner)
             for (model, adapter), version in self._state.version_by_adapter.items():
                 if adapter is not None:
                     owner.note_version(model, adapter, version)
@@ -84,25 +84,25 @@
         return wanted
 
     def pool_stalled(self, service: str) -> bool:
-        """Tell whether reading holds up the streams of a whole pool of engines."""
+        """Return whether prompt processing stalls the streams of a whole pool."""
         records = self._state.endpoints.ready(service)
         engines = (self._state.fleet.engine(record.endpoint_id) for record in records)
         statuses = (owned.status for owned in engines if owned is not None)
-        held_up = sum(status is not None and status.held_up for status in statuses)
-        return is_pool_held_up(held_up, len(records))
+        stalled = sum(status is not None and status.held_up for status in statuses)
+        return is_pool_held_up(stalled, len(records))
 
     def stalled_by_service(self) -> dict[str, bool]:
-        """Return for each pool of engines whether it is held up."""
+        """Return by service whether its pool of engines is stalled."""
         services = {record.service for record in self._state.model_engines()}
         return {service: self.pool_stalled(service) for service in services}
 
     async def write_stall_records_forever(self) -> None:
-        """Keep in the store what has been learned of the pools of engines.
+        """Write to the store which pools are stalled, for ever.
 
-        Only owners do: they hear of one another's engines.
+        Only engine owners do: they receive the status of one another's engines.
         """
         while True:
-            await asyncio.sleep(NOTES_LOOK_S)
+            await asyncio.sleep(STALL_CHECK_INTERVAL_S)
             if not self._engines.owner_by_engine:
                 continue
             owners = self._state.fleet.owner_ids()
@@ -110,29 +110,32 @@
             await self._stall_records.write_changes(stalled, owners, self._state.now())
 
     def on_stall_record(self, service: str) -> None:
-        """Let owners that know nothing yet begin with what was noted of their pool."""
+        """Apply the stall record of a service to the owners of its engines."""
         for owner in self._engines.owner_by_engine.values():
             if owner.record.service == service:
-                self._assume(owner)
+                self._apply_known_stall(owner)
 
-    def _assume(self, owner: EngineOwner) -> None:
+    def _apply_known_stall(self, owner: EngineOwner) -> None:
         service = owner.record.service
         if self.pool_stalled(service) or self._stall_records.is_stalled(service):
             owner.places.pacing.evidence.assume(self._state.now())
 
     def on_fenced(self, record: EndpointRecord, token: int) -> None:
-        """Take an engine's word that another VM used a higher fencing number."""
+        """Handle an engine's answer that another VM used a higher fencing number."""
         owned = self._state.fleet.engine(record.endpoint_id)
         seen = owned.fence if owned is not None else 0
         self._ownership.on_fenced(record.registered_id, max(seen, token))
 
     def take_over_lost_engines(self, *, store_answers_others: bool) -> bool:
-        """Own engines whose owner is gone while no VM reaches the store; True if any.
+        """Take over engines without a live owner while no VM reaches the store.
 
-        Guards against a long outage in which VMs stop or die: the store cannot name
-        new owners, and fewer and fewer engines could load anything.
+        Returns whether any engine was taken over. Guards against engines that cannot
+        load adapters because their owner died in a store outage.
         """
-        if self._ownership.store_unreachable_s() < STORE_AWAY_S or store_answers_others:
+        if (
+            self._ownership.store_unreachable_s() < STORE_OUTAGE_S
+            or store_answers_others
+        ):
             return False
         if not self._state.serving():
             return False
