--- a/bamboovale/gateway/engine_client.py
+++ b/bamboovale/gateway/engine_client.py
@@ -1,4 +1,4 @@
-"""Calls to one engine: its report, and orders with fencing number."""
+"""Client for engines: reads their reports and sends orders with fencing numbers."""
 
 import asyncio
 import time
@@ -18,14 +18,14 @@
 from bamboovale.http1.pool import ConnectionPool
 
 REPORT_TIMEOUT_S = 1.0
-"""An engine answers a report within milliseconds; a slow link takes some hundred."""
+"""An engine answers within milliseconds; a slow link adds some hundred."""
 
 
 class EngineCodec(Protocol):
-    """Puts reports and orders into the engine's format; raises ValueError kinds."""
+    """Encodes and decodes reports and orders in the engine's format."""
 
     def report_request(self, registered_id: str, host: str) -> h11.Request:
-        """Return the call for a report."""
+        """Return the request for a report."""
 
     def decode_report(self, body: bytes) -> EngineReport:
         """Read a report; raises ValueError."""
@@ -40,16 +40,16 @@
         fence: int,
         expected_orders: int | None,
     ) -> tuple[h11.Request, bytes]:
-        """Return the call that gives an order."""
+        """Return the request and body that send an order."""
 
     def order_outcome(self, status: int) -> OrderOutcome:
-        """Read the status of an order's answer."""
+        """Decode the HTTP status of an answer to an order."""
 
 
 class EngineCallFailed(Exception):  # noqa: N818 - reads as what happened
-    """No usable answer; what was asked may be done all the same.
+    """No usable answer was received; the engine may have carried out the call.
 
-    ``unreachable`` tells that the engine refused the connection: nobody listens.
+    ``unreachable`` is true if the engine refused the connection.
     """
 
     def __init__(self, message: str, *, unreachable: bool = False) -> None:
@@ -58,7 +58,7 @@
 
 
 class EngineClient:
-    """Calls engines over a pool of connections of their own."""
+    """Calls engines over a connection pool that carries no callers' requests."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         self._codec = codec
         self._holder = holder
         self._on_call = on_call
-        self._patience = OrderPatience()
+        self._order_timeout = OrderPatience()
 
     async def report(self, record: EndpointRecord) -> EngineReport:
         """Return the engine's report; raises EngineCallFailed."""
@@ -94,9 +94,9 @@
         expected_orders: int | None,
         lost: int = 0,
     ) -> OrderOutcome:
-        """Give an order; UNKNOWN if no answer came: it may be carried out late.
+        """Send an order; UNKNOWN without an answer, as it may be carried out late.
 
-        ``lost`` is how often the same order had no answer before.
+        ``lost`` is how many earlier attempts of the same order had no answer.
         """
         request, body = self._codec.order_request(
             order,
@@ -106,7 +106,7 @@
             fence=fence,
             expected_orders=expected_orders,
         )
-        timeout_s = self._patience.timeout_s(lost)
+        timeout_s = self._order_timeout.timeout_s(lost)
         asked_at = time.monotonic()
         try:
             status, _ = await self._exchange(record, request, body, timeout_s)
@@ -114,7 +114,7 @@
             outcome = OrderOutcome.UNKNOWN
         else:
             outcome = self._codec.order_outcome(status)
-            self._patience.on_answer(time.monotonic() - asked_at)
+            self._order_timeout.on_answer(time.monotonic() - asked_at)
         self._on_call("order", outcome.name.lower())
         return outcome
 
--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -1,4 +1,4 @@
-"""The task of one engine at its owner: carries out what ``EnginePlaces`` decides."""
+"""Owner of one engine: carries out the decisions of ``EnginePlaces``."""
 
 import asyncio
 from collections.abc import Callable
@@ -29,26 +29,24 @@
 from bamboovale.gateway.order_sender import OrderSender
 from bamboovale.gateway.owner_context import OwnerContext
 
-REPORT_IDLE_S = 2.0
-"""Between reports while nothing is expected: finds an adapter that was evicted or an
-order that another owner gave. Each report is a priced call."""
-REPORT_LOADING_S = 0.06
-"""Between reports while a load is about to end: requests wait for it."""
-REPORT_MODEL_S = 0.2
-"""Between reports while a base model is loaded, which takes 0.6 to 5.7 s."""
-FAILED_PAUSE_S = 0.25
-"""After a report that failed: an engine that restarts is back within seconds, and each
-try is a priced call."""
-CONFLICT_PAUSE_S = 0.12
-"""An engine's report lags by some 100 ms: read sooner after a conflict, it would name
-the order number that has just been refused."""
-LOG_S = 1.0
-"""Between two lines on how full an engine is: one engine's lines are a hundredth of the
-lines on its requests at 100 requests a second."""
-READY_SLACK_S = 0.002
-"""Timers may fire a little early against the clock."""
-TICK_S = 0.1
-"""How often hopeless waits are refused."""
+IDLE_POLL_INTERVAL_S = 2.0
+"""Poll interval while nothing is expected: detects evicted adapters and orders of
+another owner. Each report is a priced call."""
+LOADING_POLL_INTERVAL_S = 0.06
+"""Poll interval while a load is about to end, for which requests are queued."""
+MODEL_LOADING_POLL_INTERVAL_S = 0.2
+"""Poll interval while a base model is loading, which takes seconds."""
+FAILED_POLL_INTERVAL_S = 0.25
+"""Poll interval after a failed report: an engine restarts within seconds."""
+CONFLICT_POLL_DELAY_S = 0.12
+"""Reports lag by some 100 ms: one read sooner after a conflict would still contain the
+order number that was refused."""
+LOG_INTERVAL_S = 1.0
+"""Interval of log lines on an engine's load."""
+TIMER_SLACK_S = 0.002
+"""Timers may fire slightly early relative to the clock."""
+TICK_INTERVAL_S = 0.1
+"""Interval at which queued requests that cannot start in time are refused."""
 
 Reply = Callable[[PlaceReply], None]
 
@@ -73,18 +71,18 @@
         )
         self._wake = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._look_at = 0.0
+        self._next_poll_at = 0.0
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = 0.0
 
     def start(self) -> None:
-        """Begin to read reports."""
-        self._spawn(self._look_forever())
+        """Start polling reports, deciding and logging."""
+        self._spawn(self._poll_forever())
         self._spawn(self._tick_forever())
-        self._spawn(self._tell_forever())
+        self._spawn(self._log_forever())
 
     def stop(self) -> None:
-        """End all tasks; whoever waits is told to ask the next owner."""
+        """Cancel all tasks; replies to queued requests that the owner changed."""
         for task in list(self._tasks):
             task.cancel()
         if self._timer is not None:
@@ -96,7 +94,7 @@
     # Requests of entry VMs.
 
     def request_place(self, entry_vm: str, request: PlaceRequest, reply: Reply) -> None:
-        """Decide on a request for a place, now or later."""
+        """Grant or refuse a place, now or later."""
         now = self._context.now()
         ask = PlaceAsk(
             ask_id=request.ask_id,
@@ -118,16 +116,16 @@
         self._carry_out(self.places.on_ask(ask, now))
 
     def cancel(self, ask_id: str) -> None:
-        """Drop a request."""
+        """Drop a queued request."""
         self._reply_by_ask.pop(ask_id, None)
         self._carry_out(self.places.on_cancel(ask_id, self._context.now()))
 
     def on_started(self, ask_id: str) -> None:
-        """Note the first event of a run."""
+        """Record that the first event of a run was received."""
         self.places.on_started(ask_id, self._context.now())
 
     def on_paused(self, ask_id: str, pause_s: float) -> None:
-        """Note a long pause of a run's stream."""
+        """Record a long pause of a run's stream."""
         now = self._context.now()
         evidence = self.places.pacing.evidence
         before = evidence.is_held_up()
@@ -142,7 +140,7 @@
             )
 
     def on_held(self, entry_vm: str, held: PlaceHeld) -> None:
-        """Take over a run that an entry VM has under way."""
+        """Record a run in flight whose place the previous owner granted."""
         now = self._context.now()
         ask = PlaceAsk(
             ask_id=held.ask_id,
@@ -160,32 +158,32 @@
         self.places.on_held(ask, held.version, now)
 
     def release(self, notice: PlaceRelease) -> None:
-        """Free a place."""
+        """Free a place, after the run ended, was refused or was aborted."""
         ask_id = notice.ask_id
         now = self._context.now()
         if notice.refused:
             not_held = notice.not_held
             actions = self.places.on_refused_run(ask_id, now, not_held=not_held)
             self._carry_out(actions)
-            self._look_by(now)
+            self._poll_by(now)
         else:
             aborted = notice.aborted
             self._carry_out(self.places.on_release(ask_id, now, aborted=aborted))
             if aborted:
-                self._look_by(now + 2 * RUNS_LAG_S)
+                self._poll_by(now + 2 * RUNS_LAG_S)
 
     def on_entry_gone(self, entry_vm: str) -> None:
-        """Free what a dead entry VM held."""
+        """Free the places of an entry VM that is gone."""
         self._carry_out(self.places.on_entry_gone(entry_vm, self._context.now()))
 
     def note_version(self, model: str, adapter: str, version: int) -> None:
-        """Learn of a new version."""
+        """Set the newest version of an adapter."""
         now = self._context.now()
         self.places.slots.note_version((model, adapter), version, now)
         self._carry_out(self.places.decide(now))
 
     def status(self) -> EngineStatus:
-        """Return what peers are told."""
+        """Return the engine status for publication."""
         outlook = self.places.outlook(self._context.now())
         return EngineStatus(
             engine_id=self.record.endpoint_id,
@@ -205,7 +203,7 @@
         )
 
     def load(self) -> EngineLoad:
-        """Return how busy the engine is."""
+        """Return the engine's load for publication."""
         outlook = self.places.outlook(self._context.now())
         return EngineLoad(
             engine_id=self.record.endpoint_id,
@@ -215,12 +213,12 @@
             open_slots=outlook.open_slots,
         )
 
-    # Carrying out.
+    # Actions.
 
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Grant):
-                self._tell(
+                self._reply(
                     action.ask,
                     PlaceReply(
                         action.ask.ask_id,
@@ -233,9 +231,9 @@
                 self._refuse(action)
             else:
                 self._spawn(self._order(action))
-        self._decide_again(self._context.now())
+        self._schedule_decision(self._context.now())
 
-    def _tell(self, ask: PlaceAsk, reply: PlaceReply) -> None:
+    def _reply(self, ask: PlaceAsk, reply: PlaceReply) -> None:
         waiting = self._reply_by_ask.pop(ask.ask_id, None)
         if waiting is not None:
             waiting(reply)
@@ -255,32 +253,32 @@
             retry_after_s=refusal.retry_after_s,
             not_owner=refusal.reason is RefusalReason.CANNOT_LOAD,
         )
-        self._tell(refusal.ask, reply)
+        self._reply(refusal.ask, reply)
 
     async def _order(self, action: OrderLoad | OrderUnload) -> None:
-        """Give an order and take its outcome."""
+        """Send an order and apply its outcome."""
         end = await self._orders.send(action)
         now = self._context.now()
         if end.is_done:
             at_once = end.outcome is OrderOutcome.HOLDS
             actions = self.places.on_order_done(action, now, at_once=at_once)
             self._carry_out(actions)
-            self._expect_news(now)
+            self._poll_at_load_end(now)
             return
         if end.outcome is OrderOutcome.GONE:
-            self._engine_lost()
+            self._on_engine_unreachable()
         self.places.on_order_failed(action, certain=end.is_certain)
         if end.outcome is not None:
-            self._look_by(now + CONFLICT_PAUSE_S)
+            self._poll_by(now + CONFLICT_POLL_DELAY_S)
 
     # Reports.
 
-    async def _look_forever(self) -> None:
+    async def _poll_forever(self) -> None:
         while True:
             seen = await self.poll()
             now = self._context.now()
-            self._look_at = now + self._pause_s(seen)
-            while (left := self._look_at - self._context.now()) > 0:
+            self._next_poll_at = now + self._poll_interval_s(seen)
+            while (left := self._next_poll_at - self._context.now()) > 0:
                 self._wake.clear()
                 try:
                     async with asyncio.timeout(left):
@@ -288,17 +286,17 @@
                 except TimeoutError:
                     break
 
-    def _pause_s(self, seen: bool) -> float:
+    def _poll_interval_s(self, seen: bool) -> float:
         if not seen:
-            return FAILED_PAUSE_S
+            return FAILED_POLL_INTERVAL_S
         if self.places.loads_model():
-            return REPORT_MODEL_S
+            return MODEL_LOADING_POLL_INTERVAL_S
         if self.places.has_loads_coming():
-            return REPORT_LOADING_S
-        return REPORT_IDLE_S
+            return LOADING_POLL_INTERVAL_S
+        return IDLE_POLL_INTERVAL_S
 
     async def poll(self) -> bool:
-        """Read one report; False if the engine gave none."""
+        """Read and apply one report; returns False if there was none to apply."""
         asked_at = self._context.now()
         try:
             report = await self._context.calls.report(self.record)
@@ -309,9 +307,9 @@
                 error=str(error),
             )
             if error.unreachable:
-                self._engine_lost()
+                self._on_engine_unreachable()
             return False
-        if not self._is_same_start(report):
+        if not self._is_from_same_start(report):
             return False
         self.reachable = True
         self._orders.on_report(report.orders)
@@ -320,12 +318,11 @@
         self._carry_out(self.places.on_facts(facts_from_report(report, asked_at), now))
         return True
 
-    def _is_same_start(self, report: EngineReport) -> bool:
-        """Tell whether the start that we own gave the report.
+    def _is_from_same_start(self, report: EngineReport) -> bool:
+        """Return whether the report comes from the start of the engine that is owned.
 
-        Guards against an engine that came back under its id before its record changed:
-        it holds nothing and counts orders anew. Taken for the same, its owner would
-        send runs to adapters that are gone and order by a number of before.
+        Guards against an engine that restarted before its record changed: it holds no
+        adapters and has reset its order count.
         """
         started_ms = report.started_ms
         if started_ms is None or started_ms == self.record.started_ms:
@@ -339,10 +336,10 @@
             self._context.on_restart(self.record, started_ms)
         return False
 
-    async def _tell_forever(self) -> None:
-        """Log how full the engine is, for reading back why a request waited."""
+    async def _log_forever(self) -> None:
+        """Log the engine's load at intervals, to explain why requests were queued."""
         while True:
-            await asyncio.sleep(LOG_S)
+            await asyncio.sleep(LOG_INTERVAL_S)
             self._context.journal.write(
                 "engine",
                 engine=self.record.endpoint_id,
@@ -351,42 +348,42 @@
 
     async def _tick_forever(self) -> None:
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
             pool_stalled = self._context.pool_stalled(self.record.service)
             self.places.pacing.pool_held_up = pool_stalled
             self.places.may_order = self._orders.may_order()
             if self.places.waiting():
                 self._carry_out(self.places.decide(self._context.now()))
 
-    def _look_by(self, at: float) -> None:
-        """Look at the engine no later than the given time."""
-        if at < self._look_at:
-            self._look_at = at
+    def _poll_by(self, at: float) -> None:
+        """Poll the engine no later than the given time."""
+        if at < self._next_poll_at:
+            self._next_poll_at = at
             self._wake.set()
 
-    def _expect_news(self, now: float) -> None:
-        """Look again when the load just ordered is about to end."""
+    def _poll_at_load_end(self, now: float) -> None:
+        """Poll when the load just ordered is about to end."""
         if self.places.has_loads_coming():
-            before_end_s = self.places.slots.load_s.value - 2 * REPORT_LOADING_S
-            self._look_by(now + max(0.05, before_end_s))
+            before_end_s = self.places.slots.load_s.value - 2 * LOADING_POLL_INTERVAL_S
+            self._poll_by(now + max(0.05, before_end_s))
 
-    def _decide_again(self, now: float) -> None:
-        """Decide again once a load should be complete, or a prompt may begin."""
+    def _schedule_decision(self, now: float) -> None:
+        """Schedule the next decision, when a load should end or a prompt may start."""
         at = self.places.next_decision_at()
         if at is None or (self._timer is not None and self._timer_at <= at):
             return
         if self._timer is not None:
             self._timer.cancel()
         self._timer_at = at
-        delay_s = max(0.0, at - now) + READY_SLACK_S
+        delay_s = max(0.0, at - now) + TIMER_SLACK_S
         self._timer = asyncio.get_running_loop().call_later(delay_s, self._on_timer)
 
     def _on_timer(self) -> None:
         self._timer = None
         self._carry_out(self.places.decide(self._context.now()))
 
-    def _engine_lost(self) -> None:
-        """Send whoever waits to other engines: this one does not answer any more."""
+    def _on_engine_unreachable(self) -> None:
+        """Refuse queued requests, so that they are sent to other engines."""
         self.reachable = False
         for ask_id, reply in list(self._reply_by_ask.items()):
             self.places.on_cancel(ask_id, self._context.now())
@@ -400,7 +397,7 @@
 
 
 def facts_from_report(report: EngineReport, read_at: float) -> EngineFacts:
-    """Return a report as the decisions read it."""
+    """Convert an engine's report into the input of the decisions."""
     return EngineFacts(
         version_by_model={model.name: model.version for model in report.models},
         version_by_adapter={
--- a/bamboovale/gateway/engines.py
+++ b/bamboovale/gateway/engines.py
@@ -1,4 +1,4 @@
-"""What this entry VM knows of the engines, and asking their owners for places."""
+"""Views of the engines for this entry VM, and place requests to their owners."""
 
 import asyncio
 import contextlib
@@ -30,22 +30,23 @@
 )
 
 AdapterVersions = tuple[tuple[str, str, int], ...]
-"""Adapters as owners tell them: model, adapter, version."""
-FORGET_FROM = 2
-"""Times the engines that there are: each start of an engine has an id of its own."""
-LOOK_S = 0.25
-"""How often a waiting request looks whether the owner still lives."""
+"""Adapters as owners publish them: model, adapter, version."""
+PRUNE_FACTOR = 2
+"""State of former engines is dropped once entries exceed this multiple of the current
+engines: each start of an engine has an id of its own."""
+OWNER_CHECK_INTERVAL_S = 0.25
+"""Interval at which a pending request checks that the owner is alive."""
 
 
 class OwnerUnavailable(Exception):  # noqa: N818 - reads as what happened
-    """The engine's owner did not answer, or owns it no more."""
+    """The engine has no live owner, or its owner did not answer or has changed."""
 
 
 class Links(Protocol):
-    """Messages to other entry VMs."""
+    """Sends messages to other entry VMs."""
 
     def request(self, vm_id: str, message: Any, timeout_s: float) -> "Future[Any]":
-        """Send a request."""
+        """Send a request; the future is completed with the reply or an error."""
 
     def notify(self, vm_id: str, message: Any) -> None:
         """Send a notice."""
@@ -56,7 +57,7 @@
 
 @dataclass
 class _Sent:
-    """What was sent to an engine since its owner was last heard."""
+    """Requests sent to an engine since its owner's last status."""
 
     last_seen: float = 0.0
     tokens: int = 0
@@ -65,16 +66,16 @@
 
 @dataclass(frozen=True)
 class _Loaded:
-    """What an owner said is loaded and coming, kept as maps until it says otherwise."""
+    """Published adapters of an engine as maps, cached until the owner's next change."""
 
-    told: tuple[AdapterVersions, AdapterVersions]
+    published: tuple[AdapterVersions, AdapterVersions]
     loaded: dict[AdapterKey, int]
     coming: dict[AdapterKey, int]
 
 
 @dataclass(frozen=True)
 class GrantedPlace:
-    """A place that was granted; to be released by the same VM."""
+    """A place that an owner granted, which this VM must release."""
 
     engine_id: str
     ask_id: str
@@ -85,7 +86,10 @@
 
 @dataclass
 class Engines:
-    """Views of engines by id, and the way to their owners."""
+    """Known state of the engines by id, and messages to their owners.
+
+    Messages of this VM to itself are direct calls of ``owner_by_engine``.
+    """
 
     own_id: str
     fleet: Fleet
@@ -99,26 +103,26 @@
     _owner_by_held: dict[str, str] = field(default_factory=dict)
 
     def views(self, records: list[EndpointRecord]) -> dict[str, EngineView]:
-        """Return what is known of each of the engines, for a request."""
+        """Return the view of each reachable engine, for the choice of an engine."""
         self.on_engine_needed()
-        self._forget_gone(records)
+        self._prune(records)
         return {
             record.endpoint_id: self._view(record)
             for record in records
-            if self._answers(record.endpoint_id)
+            if self._is_reachable(record.endpoint_id)
         }
 
-    def _forget_gone(self, records: list[EndpointRecord]) -> None:
-        """Drop what was kept of engines that are gone, once it is the larger part."""
+    def _prune(self, records: list[EndpointRecord]) -> None:
+        """Drop state of engines that no longer exist, once it outweighs the rest."""
         for kept in (self._sent_by_id, self._loaded_by_id):
-            if len(kept) <= FORGET_FROM * max(1, len(records)):
+            if len(kept) <= PRUNE_FACTOR * max(1, len(records)):
                 continue
             listed = {record.endpoint_id for record in records}
             for engine_id in kept.keys() - listed:
                 del kept[engine_id]
 
     def note_sent(self, view: EngineView, request: PlaceRequest) -> None:
-        """Count what the owner's next word will show."""
+        """Count a request that the owner's last status does not contain yet."""
         sent = self._sent_by_id.setdefault(request.engine_id, _Sent())
         sent.tokens += request.prompt_tokens
         key = None if request.adapter is None else (request.model, request.adapter)
@@ -129,9 +133,9 @@
         owner = self._owner_of(engine_id)
         if owner is None:
             raise OwnerUnavailable("no owner")
-        future = self._send_ask(owner, request)
-        # A caller who leaves leaves the future behind; its end is of no interest then.
-        future.add_done_callback(_consume)
+        future = self._send_request(owner, request)
+        # If the caller disconnects, the future remains without a consumer.
+        future.add_done_callback(_ignore_result)
         try:
             reply = await self._wait_for(future, owner, engine_id)
         except BaseException:
@@ -142,7 +146,7 @@
         return reply
 
     def notify_started(self, place: GrantedPlace) -> None:
-        """Tell the owner that the first event has come."""
+        """Notify the owner that the first event was received."""
         local = self.owner_by_engine.get(place.engine_id)
         if place.owner != self.own_id:
             notice = PlaceStarted(place.engine_id, place.ask_id)
@@ -151,7 +155,7 @@
             local.on_started(place.ask_id)
 
     def notify_paused(self, place: GrantedPlace, pause_s: float) -> None:
-        """Tell the owner that the stream has just paused for long."""
+        """Notify the owner of a long pause of the stream."""
         local = self.owner_by_engine.get(place.engine_id)
         if place.owner != self.own_id:
             notice = PlacePaused(place.engine_id, place.ask_id, round(pause_s, 4))
@@ -160,7 +164,7 @@
             local.on_paused(place.ask_id, pause_s)
 
     def track_run(self, place: GrantedPlace, request: PlaceRequest) -> None:
-        """Note a run that begins, for an owner that comes to own its engine later."""
+        """Record a run that starts, to notify a later owner of its engine."""
         self._held_by_id[place.ask_id] = PlaceHeld(
             engine_id=place.engine_id,
             ask_id=place.ask_id,
@@ -174,10 +178,10 @@
         self._owner_by_held[place.ask_id] = place.owner
 
     def notify_new_owners(self) -> None:
-        """Tell engines' new owners which of our runs are under way there.
+        """Notify new owners of engines of this VM's runs in flight there.
 
-        Guards against an owner that evicts an adapter in use, because the last owner
-        granted its place: the engine waits for the run and refuses all other orders.
+        Guards against a new owner that evicts an adapter in use: the engine would wait
+        for the run and refuse all other orders.
         """
         for ask_id, held in self._held_by_id.items():
             owner = self._owner_of(held.engine_id)
@@ -197,7 +201,7 @@
         not_held: bool = False,
         aborted: bool = False,
     ) -> None:
-        """Tell the owner that a run is over."""
+        """Notify the owner that a run is over."""
         self._held_by_id.pop(place.ask_id, None)
         owner = self._owner_by_held.pop(place.ask_id, place.owner)
         notice = PlaceRelease(
@@ -214,16 +218,16 @@
             local.release(notice)
 
     def owner_name(self, engine_id: str) -> str | None:
-        """Return the live owner of an engine."""
+        """Return the live owner of an engine, or None."""
         return self._owner_of(engine_id)
 
-    def _send_ask(
+    def _send_request(
         self,
         owner: str,
         request: PlaceRequest,
     ) -> "asyncio.Future[PlaceReply]":
         if owner != self.own_id:
-            timeout_s = request.starts_within_s + LOOK_S
+            timeout_s = request.starts_within_s + OWNER_CHECK_INTERVAL_S
             return asyncio.wrap_future(
                 self.links.request(owner, request, timeout_s),
             )
@@ -243,18 +247,17 @@
         owner: str,
         engine_id: str,
     ) -> PlaceReply:
-        """Wait for the reply while its owner lives.
+        """Wait for the reply while the engine's owner is alive.
 
-        Guards against an owner that is frozen or cut off: it never answers, while the
-        engine itself is well and others could take over.
+        Guards against waiting for an owner that is frozen or unreachable.
         """
         while True:
-            done, _ = await asyncio.wait({future}, timeout=LOOK_S)
+            done, _ = await asyncio.wait({future}, timeout=OWNER_CHECK_INTERVAL_S)
             if done:
                 break
             if self._owner_of(engine_id) != owner:
                 future.cancel()
-                raise OwnerUnavailable("the owner fell silent")
+                raise OwnerUnavailable(f"owner {owner} is gone or was replaced")
         try:
             return future.result()
         except (PeerUnreachableError, PeerLostError, PeerTimeoutError) as error:
@@ -275,15 +278,17 @@
             return None
         return owned.owner if self.fleet.is_live(owned.owner) else None
 
-    def _answers(self, engine_id: str) -> bool:
+    def _is_reachable(self, engine_id: str) -> bool:
         owned = self.fleet.engine(engine_id)
         return owned is None or owned.status is None or owned.status.answers
 
     def _outlook(self, status: EngineStatus) -> EngineOutlook:
-        told = (status.loaded, status.coming)
+        published = (status.loaded, status.coming)
         known = self._loaded_by_id.get(status.engine_id)
-        if known is None or known.told != told:
-            known = _Loaded(told, _versions(status.loaded), _versions(status.coming))
+        if known is None or known.published != published:
+            known = _Loaded(
+                published, _versions(status.loaded), _versions(status.coming)
+            )
             self._loaded_by_id[status.engine_id] = known
         return EngineOutlook(
             loaded=known.loaded,
@@ -321,17 +326,17 @@
         )
 
 
-def _versions(told: AdapterVersions) -> dict[AdapterKey, int]:
-    return {(model, name): version for model, name, version in told}
+def _versions(published: AdapterVersions) -> dict[AdapterKey, int]:
+    return {(model, name): version for model, name, version in published}
 
 
-def _consume(future: "asyncio.Future[PlaceReply]") -> None:
+def _ignore_result(future: "asyncio.Future[PlaceReply]") -> None:
     if not future.cancelled():
         future.exception()
 
 
 def outlook_from_record(record: EndpointRecord) -> EngineOutlook:
-    """Return what an engine's own record tells while no owner has spoken."""
+    """Return the outlook that an engine's own record gives, without a status."""
     return EngineOutlook(
         loaded={
             (model.name, adapter): version
--- a/bamboovale/gateway/events.py
+++ b/bamboovale/gateway/events.py
@@ -1,18 +1,18 @@
-"""Cuts a stream of server-sent events into whole events and follows their ids."""
+"""Splits a stream of server-sent events into whole events and checks their ids."""
 
 from dataclasses import dataclass
 
 MAX_EVENT_BYTES = 1024 * 1024
-"""Far above any event; a stream without an end of event must not fill the memory."""
+"""Bounds the memory that a stream without an end of event can use."""
 
 
 class EventsBroken(Exception):  # noqa: N818 - reads as what happened
-    """The bytes are no proper continuation of the stream."""
+    """The bytes are not a valid continuation of the stream."""
 
 
 @dataclass(frozen=True)
 class Event:
-    """One whole event as received; ``event_id`` None if it carries none."""
+    """One whole event as received; ``event_id`` is None if it has no id."""
 
     data: bytes
     event_id: str | None
@@ -28,7 +28,7 @@
     _last_at: float = 0.0
 
     def on_events(self, count: int, now: float) -> float:
-        """Count events that came together; return the pause before them."""
+        """Count events that were received together; return the pause before them."""
         pause_s = now - self._last_at if self.events else 0.0
         if pause_s > self.longest_s:
             self.longest_s = pause_s
@@ -38,7 +38,7 @@
         return pause_s
 
     def log_fields(self, received_at: float) -> dict[str, float]:
-        """Return what the request's log line tells; times since its arrival."""
+        """Return fields of the request's log line; times count from its arrival."""
         if not self.events:
             return {}
         return {
@@ -49,11 +49,10 @@
 
 
 class EventBuffer:
-    """Collects bytes until an event is whole.
+    """Buffers bytes until an event is whole.
 
-    Guards against an endpoint that stops in the middle of an event: half an event
-    would reach the caller, and what another endpoint continues would not fit on. Ids
-    that do not rise mean a piece that came twice or out of order.
+    Guards against forwarding a partial event, which no other endpoint could continue,
+    and, by checking that ids rise, against repeated or reordered events.
     """
 
     def __init__(self, resume_after: str | None = None) -> None:
@@ -62,18 +61,18 @@
 
     @property
     def has_partial(self) -> bool:
-        """Tell whether bytes of an unfinished event are held."""
+        """Return whether bytes of an incomplete event are buffered."""
         return bool(self._pending.strip())
 
     def discard_partial(self) -> None:
-        """Forget a partial event: another endpoint sends it anew."""
+        """Discard a partial event, which another endpoint will send again."""
         self._pending = b""
 
     def feed(self, data: bytes) -> list[Event]:
-        """Return the events that are whole now; raises EventsBroken."""
+        """Add bytes and return the events that are now whole; raises EventsBroken."""
         self._pending += data
         if len(self._pending) > MAX_EVENT_BYTES:
-            raise EventsBroken("an event without end")
+            raise EventsBroken(f"event exceeds {MAX_EVENT_BYTES} bytes")
         events = []
         while (end := _end_of_event(self._pending)) > 0:
             chunk, self._pending = self._pending[:end], self._pending[end:]
--- a/bamboovale/gateway/order_sender.py
+++ b/bamboovale/gateway/order_sender.py
@@ -1,4 +1,4 @@
-"""The orders to one engine: their number, their fencing, tries without an answer."""
+"""Sends orders to one engine: expected numbers, fencing numbers and retries."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,16 +7,16 @@
 from bamboovale.gateway.model import EndpointRecord, EngineOrder, OrderOutcome
 from bamboovale.gateway.owner_context import OwnerContext
 
-ORDER_TRIES = 5
-"""An order without an answer is given again at once: all tries expect the same number
-of orders before them, so that the engine carries out one of them at most."""
+MAX_ORDER_ATTEMPTS = 5
+"""Attempts of an order that got no answer. All expect the same number of earlier
+orders, so that the engine carries out at most one of them."""
 
 
 @dataclass(frozen=True)
 class OrderResult:
-    """How an order ended; ``outcome`` is None if it was not given or never answered.
+    """Result of an order; ``outcome`` is None if it was not sent or never answered.
 
-    ``lost`` counts the tries without an answer.
+    ``lost`` counts the attempts without an answer.
     """
 
     outcome: OrderOutcome | None
@@ -24,19 +24,19 @@
 
     @property
     def is_done(self) -> bool:
-        """Tell whether the engine carries the order out, or holds it to be done."""
+        """Return whether the engine accepted the order or already holds its result."""
         return self.outcome in (OrderOutcome.ACCEPTED, OrderOutcome.HOLDS)
 
     @property
     def is_certain(self) -> bool:
-        """Tell whether no try of an order that failed may still be carried out."""
+        """Return whether no attempt of a failed order may still be carried out."""
         return self.lost == 0
 
 
 class OrderSender:
-    """Gives the orders of one engine's owner, one at a time.
+    """Sends the orders of one engine's owner, one at a time.
 
-    ``free_slots`` tells how many adapters still fit, as the owner believes.
+    ``free_slots`` returns the adapter slots that the owner considers free.
     """
 
     def __init__(
@@ -48,49 +48,49 @@
         self._record = record
         self._context = context
         self._free_slots = free_slots
-        self._orders_seen: int | None = None
-        self._fenced_at: int | None = None
+        self._accepted_orders: int | None = None
+        self._rejected_fence: int | None = None
 
     def fence(self) -> int:
         """Return the fencing number of the next order."""
         return self._context.fence(self._record().registered_id)
 
     def may_order(self) -> bool:
-        """Tell whether an order may go out now, looked at just before it does."""
-        return self._may_order_by(self.fence())
+        """Return whether an order may be sent now."""
+        return self._may_order_with(self.fence())
 
     def on_report(self, orders: int) -> None:
-        """Take the number of orders that the engine says it has accepted."""
-        if self._orders_seen is None or orders > self._orders_seen:
-            self._orders_seen = orders
+        """Apply the number of accepted orders that the engine reports."""
+        if self._accepted_orders is None or orders > self._accepted_orders:
+            self._accepted_orders = orders
 
     async def send(self, action: OrderLoad | OrderUnload) -> OrderResult:
-        """Give an order until its outcome is known, for a few tries.
+        """Send an order until its outcome is known, at most a few times.
 
-        It ends without outcome once a report tells of another number: what was decided
-        rests on a state that is past.
+        Gives up without an outcome once a report shows another number of orders: the
+        decision is then based on a stale state.
         """
-        expected = self._orders_seen
-        for lost in range(ORDER_TRIES):
+        expected = self._accepted_orders
+        for lost in range(MAX_ORDER_ATTEMPTS):
             fence = self.fence()
-            is_past = self._orders_seen != expected
-            if expected is None or is_past or not self._may_order_by(fence):
-                self._note_not_given(action, fence, expected, lost)
+            is_stale = self._accepted_orders != expected
+            if expected is None or is_stale or not self._may_order_with(fence):
+                self._log_not_sent(action, fence, expected, lost)
                 return OrderResult(None, lost)
-            outcome = await self._give_once(action, fence, expected, lost)
+            outcome = await self._send_once(action, fence, expected, lost)
             if outcome is not OrderOutcome.UNKNOWN:
-                self._take(action, outcome, fence)
+                self._on_outcome(action, outcome, fence)
                 return OrderResult(outcome, lost)
-        return OrderResult(None, ORDER_TRIES)
+        return OrderResult(None, MAX_ORDER_ATTEMPTS)
 
-    def _note_not_given(
+    def _log_not_sent(
         self,
         action: OrderLoad | OrderUnload,
         fence: int,
         expected: int | None,
         lost: int,
     ) -> None:
-        """Log an order without a number to expect (None), or without leave."""
+        """Log an order that was not sent: no expected number, or not permitted."""
         self._context.journal.write(
             "order_not_given",
             engine=self._record().endpoint_id,
@@ -101,12 +101,12 @@
             lost=lost,
         )
 
-    def _may_order_by(self, fence: int) -> bool:
-        if self._fenced_at is not None and fence <= self._fenced_at:
+    def _may_order_with(self, fence: int) -> bool:
+        if self._rejected_fence is not None and fence <= self._rejected_fence:
             return False
         return self._context.may_order(self._record().registered_id)
 
-    async def _give_once(
+    async def _send_once(
         self,
         action: OrderLoad | OrderUnload,
         fence: int,
@@ -136,22 +136,22 @@
         )
         return outcome
 
-    def _take(
+    def _on_outcome(
         self,
         action: OrderLoad | OrderUnload,
         outcome: OrderOutcome,
         fence: int,
     ) -> None:
         if outcome in (OrderOutcome.ACCEPTED, OrderOutcome.HOLDS):
-            if self._orders_seen is not None and _is_counted(action, outcome):
-                self._orders_seen += 1
+            if self._accepted_orders is not None and _is_counted(action, outcome):
+                self._accepted_orders += 1
             return
         if outcome is OrderOutcome.FENCED:
-            self._fenced_at = fence
+            self._rejected_fence = fence
             self._context.on_fenced(self._record(), fence)
-        self._orders_seen = None
+        self._accepted_orders = None
 
 
 def _is_counted(action: OrderLoad | OrderUnload, outcome: OrderOutcome) -> bool:
-    """Tell whether the engine counted the order: an unload done at once is counted."""
+    """Return whether the engine counted the order, as it does completed unloads."""
     return outcome is OrderOutcome.ACCEPTED or isinstance(action, OrderUnload)
--- a/bamboovale/gateway/owner_context.py
+++ b/bamboovale/gateway/owner_context.py
@@ -1,4 +1,4 @@
-"""What the tasks of an engine's owner are given by their VM."""
+"""Dependencies that a VM passes to the owners of its engines."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True)
 class OwnerContext:
-    """What an owner's task is given.
+    """Dependencies of an engine's owner.
 
-    ``fence`` is the fencing number of an engine's orders; ``on_fenced`` is told which
-    number the engine refused. ``hold_off_s`` is how long a new owner evicts nothing,
-    until it has heard which runs are under way. ``on_restart`` is told when the
-    engine says that it started later than its record tells. ``pool_stalled`` tells of
-    a service whether reading holds up the streams of many of its engines.
+    ``fence`` returns the fencing number for orders to an engine; ``on_fenced`` is
+    called with a number that the engine refused. ``hold_off_s`` is how long a new owner
+    evicts nothing, until the runs in flight are known. ``on_restart`` is called when a
+    report shows a later start than the engine's record. ``pool_stalled`` returns
+    whether prompt processing stalls the streams of many engines of a service.
     """
 
     calls: EngineClient
--- a/bamboovale/gateway/status_exchange.py
+++ b/bamboovale/gateway/status_exchange.py
@@ -1,4 +1,4 @@
-"""Telling of engines: owners tell the VMs that choose, which ask to be told."""
+"""Publication of engine status by owners, and subscription to it by other VMs."""
 
 import asyncio
 
@@ -7,14 +7,14 @@
 from bamboovale.gateway.messages import EngineLoads, EngineStatuses, StatusSubscription
 from bamboovale.gateway.vm_state import VMState
 
-INTEREST_LOOK_S = 0.5
-"""Between two looks which owners to ask: a quarter of the time between two asks."""
-OWNER_LOOK_S = 0.3
-"""Between two looks whether we own engines by now; others hear of it meanwhile."""
+SUBSCRIBE_CHECK_INTERVAL_S = 0.5
+"""Interval of checks which subscriptions are due: a quarter of a renewal interval."""
+OWNER_CHECK_INTERVAL_S = 0.3
+"""Interval of checks whether this VM owns engines while it owns none."""
 
 
 class EngineStatusExchange:
-    """Both sides of one VM: what it tells of its engines, and whom it asks."""
+    """Publishes the status of owned engines and subscribes to that of others."""
 
     def __init__(self, state: VMState, engines: Engines, links: Links) -> None:
         self._state = state
@@ -27,13 +27,13 @@
     # As an owner.
 
     def on_subscribe(self, sender: str) -> None:
-        """Tell a VM of our engines from now on; at once if it did not ask before."""
+        """Add or renew a VM's subscription; sends the status at once if it is new."""
         is_new = self._subscriptions.renew(sender, self._state.now())
         if is_new and self._engines.owner_by_engine:
             self._links.notify(sender, self._statuses())
 
     def publish_statuses(self) -> None:
-        """Tell everybody that asked of all our engines."""
+        """Send the status of all owned engines to all subscribers."""
         now = self._state.now()
         statuses = self._statuses()
         self._state.fleet.on_statuses(self._state.node.name, statuses.statuses, now)
@@ -41,24 +41,24 @@
             self._links.notify_all(self._subscriptions.current(now), statuses)
 
     async def publish_statuses_forever(self) -> None:
-        """Tell at intervals, while there is something to tell."""
+        """Publish engine status at intervals while this VM owns engines."""
         while True:
             await asyncio.sleep(self._subscriptions.status_interval_s())
             if self._engines.owner_by_engine:
                 self.publish_statuses()
 
     async def publish_loads_forever(self) -> None:
-        """Tell how busy our engines are, between two statuses, where that changed."""
-        told: EngineLoads | None = None
+        """Publish the load of owned engines between two statuses when it changed."""
+        published: EngineLoads | None = None
         while True:
             is_owner = bool(self._engines.owner_by_engine)
             interval_s = self._subscriptions.loads_interval_s()
-            await asyncio.sleep(interval_s if is_owner else OWNER_LOOK_S)
+            await asyncio.sleep(interval_s if is_owner else OWNER_CHECK_INTERVAL_S)
             owners = self._engines.owner_by_engine.values()
             loads = EngineLoads(tuple(owner.load() for owner in owners))
-            if not loads.loads or loads == told:
+            if not loads.loads or loads == published:
                 continue
-            told = loads
+            published = loads
             now = self._state.now()
             self._state.fleet.on_loads(self._state.node.name, loads.loads, now)
             self._links.notify_all(self._subscriptions.current(now), loads)
@@ -67,17 +67,18 @@
         owners = self._engines.owner_by_engine.values()
         return EngineStatuses(tuple(owner.status() for owner in owners))
 
-    # As a VM that chooses.
+    # As a subscriber.
 
     def on_engine_needed(self) -> None:
-        """Note that a request needs an engine; ask at once after a time without."""
+        """Note that a request needs an engine; subscribe at once after an idle time."""
         if self._interest.note_request(self._state.now()):
             self.subscribe_to_owners()
 
     def subscribe_to_owners(self) -> None:
-        """Ask the owners that were not asked of late, if we choose engines.
+        """Renew subscriptions that are due, if this VM needs engine status.
 
-        Owners choose none, but pace prompts by the word of the other owners.
+        It does while it chooses engines for requests, or owns engines: prompts are
+        paced by the status of the other engines too.
         """
         now = self._state.now()
         owns_some = bool(self._engines.owner_by_engine)
@@ -89,7 +90,7 @@
             self._links.notify_all(due, StatusSubscription())
 
     async def subscribe_forever(self) -> None:
-        """Go on asking while requests come."""
+        """Renew subscriptions for ever while engine status is needed."""
         while True:
-            await asyncio.sleep(INTEREST_LOOK_S)
+            await asyncio.sleep(SUBSCRIBE_CHECK_INTERVAL_S)
             self.subscribe_to_owners()
