--- a/bamboovale/gateway/engines.py
+++ b/bamboovale/gateway/engines.py
@@ -129,7 +129,7 @@
         sent.loads += not view.holds(key, request.version)
 
     async def request_place(self, engine_id: str, request: PlaceRequest) -> PlaceReply:
-        """Ask the engine's owner for a place; raises OwnerSilent."""
+        """Request a place from the engine's owner; raises OwnerUnavailable."""
         owner = self._owner_of(engine_id)
         if owner is None:
             raise OwnerUnavailable("no owner")
@@ -257,7 +257,7 @@
                 break
             if self._owner_of(engine_id) != owner:
                 future.cancel()
-                raise OwnerUnavailable(f"owner {owner} is gone or was replaced")
+                raise OwnerUnavailable("the owner is unreachable or was replaced")
         try:
             return future.result()
         except (PeerUnreachableError, PeerLostError, PeerTimeoutError) as error:
--- a/bamboovale/gateway/events.py
+++ b/bamboovale/gateway/events.py
@@ -72,7 +72,7 @@
         """Add bytes and return the events that are now whole; raises EventsBroken."""
         self._pending += data
         if len(self._pending) > MAX_EVENT_BYTES:
-            raise EventsBroken(f"event exceeds {MAX_EVENT_BYTES} bytes")
+            raise EventsBroken("the event exceeds the size limit")
         events = []
         while (end := _end_of_event(self._pending)) > 0:
             chunk, self._pending = self._pending[:end], self._pending[end:]
--- a/bamboovale/gateway/fleet.py
+++ b/bamboovale/gateway/fleet.py
@@ -1,9 +1,8 @@
-"""The entry VMs that are there and the engines they own, as seen from one of them.
+"""The live entry VMs and the owners of engines, as known to one VM.
 
-Each VM registers its address once in the metadata store, where others find it when
-they start. Whether it lives, and which engines it owns, spreads from neighbour to
-neighbour (``bamboovale/fleet``): the store may be down or cut off while everything
-else works. How busy an engine is comes from its owner, to those that asked of late.
+Each VM registers its address in the metadata store, where others find it when they
+start. Liveness and ownership spread by gossip (``bamboovale/fleet``), which works while
+the store is unreachable. An owner publishes engine status to its subscribers.
 """
 
 import time
@@ -19,16 +18,16 @@
 from bamboovale.gateway.messages import EngineLoad, EngineStatus
 
 OWNER_CANDIDATES = 24
-"""VMs of a large fleet that may own engines: twice the partitions, so that partitions
-find a new owner when several VMs end at once. Each that takes part renews its
-membership in the store, and every renewal is priced as a tenth of a call."""
+"""VMs of a large fleet that may own engines: more than the partitions, so that new
+owners remain when several VMs end at once. Each renewal of membership in the store is
+priced."""
 
 
 @dataclass(frozen=True)
 class OwnedEngine:
-    """What is known of an engine's owner.
+    """An engine's owner, with the last status that it published.
 
-    ``status`` is the last that the owner published, None before the first.
+    ``status`` is None before the first; ``last_seen`` is when it was last updated.
     ``advertised`` tells whether the owner's membership entry lists the engine,
     ``released`` that it no longer does.
     """
@@ -42,13 +41,13 @@
 
 
 class Fleet:
-    """Aggregate of all VMs and the owners of engines; no sockets, no clock."""
+    """All VMs and the owners of engines; uses no sockets and no clock."""
 
     def __init__(self, own: Member) -> None:
         self.changes: ChangeLog[Change] = ChangeLog()
         self.membership = Membership(own, self.changes)
         self._engine_by_id: dict[str, OwnedEngine] = {}
-        self._seen_version = -1
+        self._refreshed_version = -1
         self._live: list[Member] = []
         self._advertised: dict[str, list[Member]] = {}
         self._advertised_at_version = -1
@@ -58,7 +57,7 @@
     def from_node(
         cls, node: Any, time_of_day: Callable[[], float] = time.time
     ) -> "Fleet":
-        """Return the fleet of a VM that has just started; it knows only itself."""
+        """Return the fleet of a VM that has just started: it contains only itself."""
         own = Member(
             vm_id=node.name,
             start=int(time_of_day() * 1000),
@@ -71,40 +70,40 @@
         )
         return cls(own)
 
-    # Who lives.
+    # Members.
 
     @property
     def version(self) -> int:
-        """Return a number that rises with each change of what is believed."""
+        """Return a number that rises with each change of the membership."""
         return self.membership.version
 
     def size(self) -> int:
-        """Return how many entry VMs live, ourselves included."""
+        """Return the number of live entry VMs, this one included."""
         return 1 + len(self.live())
 
     def expected_size(self) -> int:
-        """Return how many VMs live or are registered and not heard of yet."""
+        """Return the number of VMs that are live, or registered but not seen yet."""
         return self.size() + len(self.membership.contact_ids())
 
     def live(self) -> list[Member]:
-        """Return the other VMs that live."""
+        """Return the other live VMs."""
         self._refresh()
         return self._live
 
     def is_live(self, vm_id: str) -> bool:
-        """Tell whether a VM lives and reaches us, as far as is known."""
+        """Return whether a VM is considered live and reachable."""
         return self.membership.is_live(vm_id)
 
     def serving(self) -> list[Member]:
-        """Return the other live VMs that take callers."""
+        """Return the other live VMs that serve callers."""
         return [member for member in self.live() if member.serving]
 
     def serving_ids(self) -> list[str]:
-        """Return the VMs that live and serve, ourselves included."""
+        """Return the ids of live VMs that serve callers, this one included."""
         return [self.membership.own.vm_id, *(m.vm_id for m in self.serving())]
 
     def advertised_by_domain(self) -> dict[str, list[Member]]:
-        """Return the VMs to name to callers, ourselves included, by failure domain."""
+        """Return by failure domain the VMs to advertise to callers, with this one."""
         if self._advertised_at_version == self.version:
             return self._advertised
         own = self.membership.own
@@ -120,7 +119,7 @@
         return self._advertised
 
     def designated(self, duty: str, count: int) -> list[str]:
-        """Return the serving VMs that do something for all, the same at every VM."""
+        """Return the serving VMs that perform a shared duty, the same at every VM."""
         known = self._designated_by_duty.get((duty, count))
         if known is None or known[0] != self.version:
             known = (self.version, first_members(duty, self.serving_ids(), count))
@@ -128,10 +127,10 @@
         return known[1]
 
     def owner_candidates(self) -> list[str]:
-        """Return the live VMs that may own engines.
+        """Return the VMs that may own engines.
 
-        VMs that are registered and not heard of yet count: after a restart of a large
-        fleet each would otherwise take part until it has heard of the others.
+        Registered VMs that were not seen yet count. Guards against every VM becoming a
+        candidate when a large fleet restarts.
         """
         expected = self.membership.contact_ids()
         if not expected:
@@ -140,18 +139,18 @@
         return first_members("owners", vm_ids, OWNER_CANDIDATES)
 
     def address_of(self, vm_id: str) -> tuple[str, int] | None:
-        """Return where a VM takes links."""
+        """Return host and port at which a VM accepts peer links."""
         return self.membership.address_of(vm_id)
 
-    # Who owns what.
+    # Owners of engines.
 
     def engine(self, engine_id: str) -> OwnedEngine | None:
-        """Return what is known of an engine's owner."""
+        """Return an engine's owner and status, None if unknown."""
         self._refresh()
         return self._engine_by_id.get(engine_id)
 
     def owner_ids(self) -> set[str]:
-        """Return the live VMs that own engines, ourselves included."""
+        """Return the live VMs that own engines, this one included."""
         owners = {member.vm_id for member in self.live() if member.owned}
         if self.membership.own.owned:
             owners.add(self.membership.own.vm_id)
@@ -163,10 +162,10 @@
         statuses: Iterable[EngineStatus],
         now: float,
     ) -> None:
-        """Take what a VM tells of engines it owns.
+        """Apply the status that a VM publishes of its engines.
 
-        It may come before the news that the VM owns them: the highest fencing number
-        is believed, while its owner lives.
+        It may arrive before gossip that the VM owns them: the live owner with the
+        highest fencing number prevails.
         """
         self._refresh()
         for status in statuses:
@@ -174,11 +173,11 @@
             known = self._engine_by_id.get(status.engine_id)
             if known is not None and known.owner == vm_id:
                 owned = replace(known, fence=status.fence, status=status, last_seen=now)
-            if known is None or self._is_believed(owned, known):
+            if known is None or self._supersedes(owned, known):
                 self._engine_by_id[status.engine_id] = owned
 
     def on_loads(self, vm_id: str, loads: Iterable[EngineLoad], now: float) -> None:
-        """Take how busy a VM's engines are, if it is their owner for us."""
+        """Apply the load of a VM's engines where it is their known owner."""
         for load in loads:
             known = self._engine_by_id.get(load.engine_id)
             if known is None or known.owner != vm_id or known.released:
@@ -199,30 +198,30 @@
             )
 
     def retain_engines(self, live_ids: set[str]) -> None:
-        """Forget engines that are gone."""
+        """Drop all engines but those with the given ids."""
         for engine_id in list(self._engine_by_id):
             if engine_id not in live_ids:
                 del self._engine_by_id[engine_id]
 
     def _refresh(self) -> None:
-        """Take over what the members tell since the last look."""
-        if self._seen_version == self.membership.version:
+        """Apply the membership's changes since the last refresh."""
+        if self._refreshed_version == self.membership.version:
             return
-        self._seen_version = self.membership.version
+        self._refreshed_version = self.membership.version
         self._live = self.membership.live()
         owned_now = set()
         for member in (self.membership.own, *self._live):
             for engine_id, fence in member.owned:
                 owned_now.add((engine_id, member.vm_id))
                 owned = OwnedEngine(member.vm_id, fence, advertised=True)
-                self._take_owner(engine_id, owned)
+                self._apply_owner(engine_id, owned)
         for engine_id, known in self._engine_by_id.items():
             is_advertised = (engine_id, known.owner) in owned_now
             if not is_advertised and known.advertised and self.is_live(known.owner):
                 released = replace(known, advertised=False, released=True)
                 self._engine_by_id[engine_id] = released
 
-    def _take_owner(self, engine_id: str, owned: OwnedEngine) -> None:
+    def _apply_owner(self, engine_id: str, owned: OwnedEngine) -> None:
         known = self._engine_by_id.get(engine_id)
         if known is None:
             self._engine_by_id[engine_id] = owned
@@ -233,12 +232,15 @@
                 advertised=True,
                 released=False,
             )
-        elif self._is_believed(owned, known):
-            # Until the new owner speaks, the last one's word on what is loaded holds.
+        elif self._supersedes(owned, known):
+            # Until the new owner publishes, the last one's status is kept.
             self._engine_by_id[engine_id] = replace(owned, status=known.status)
 
-    def _is_believed(self, owned: OwnedEngine, known: OwnedEngine) -> bool:
-        """Believe the owner with the highest fencing number, while it lives."""
+    def _supersedes(self, owned: OwnedEngine, known: OwnedEngine) -> bool:
+        """Return whether an owner replaces the known one.
+
+        The live owner with the highest fencing number prevails.
+        """
         if known.owner == owned.owner or known.released:
             return True
         return owned.fence >= known.fence or not self.is_live(known.owner)
--- a/bamboovale/gateway/followers.py
+++ b/bamboovale/gateway/followers.py
@@ -1,4 +1,4 @@
-"""Follow the store's topics: what the operator wrote and which endpoints live."""
+"""Follow the store's topics of operator records and endpoint records."""
 
 import asyncio
 import time
@@ -15,26 +15,25 @@
     StoreError,
 )
 
-NEWS_LOOK_S = 0.5
-"""Between two looks whether other readers' news has become too old: an eighth of the
-time after which it has."""
+STALENESS_CHECK_INTERVAL_S = 0.5
+"""Interval of checks whether updates from other readers have become stale."""
 RETRY_S = 0.5
-"""Between tries while the store fails; a call is priced, an outage lasts seconds. A
-read that had no answer has waited already."""
+"""Delay between retries while the store fails, as each call is priced. A read without
+an answer is retried at once."""
 
 
-Apply = Callable[[KeyedRecord], bool | None]
-"""Takes a record; False if it changed nothing that others need to know."""
+OnRecord = Callable[[KeyedRecord], bool | None]
+"""Applies a record; returns False if it changed nothing that other VMs need."""
 
 
 class TopicFollower:
-    """Reads one keyed topic for ever and hands each change on.
+    """Reads one keyed topic for ever and passes each change on.
 
-    ``known_keys`` are those that a full read must hold: what it lacks is handed on as
-    gone. ``pause_s`` is the least time between two reads: a topic that changes all the
-    time would otherwise use up the calls that the store takes. ``changes`` are kept
-    for VMs that do not read; ``on_changed`` is called when there are new ones.
-    ``reachable`` tells whether our own last read was answered.
+    ``known_keys`` returns the keys that are reported as removed if a full read lacks
+    them. ``pause_s`` returns the pause between two reads, which bounds the calls for a
+    topic that changes constantly. ``changes`` are kept for VMs that do not read;
+    ``on_changed`` is called when there are new ones. ``may_read`` takes the seconds
+    since the last progress. ``reachable`` is whether this VM's last read was answered.
     """
 
     def __init__(
@@ -43,7 +42,7 @@
         store: MetadataStore,
         journal: Journal,
         *,
-        on_record: Apply,
+        on_record: OnRecord,
         wait_s: float,
         pause_s: Callable[[], float],
         retry_s: Callable[[], float] = lambda: RETRY_S,
@@ -51,7 +50,7 @@
         on_changed: Callable[[], None] = lambda: None,
         on_answer: Callable[[], None] = lambda: None,
         on_failure: Callable[[], None] = lambda: None,
-        may_read: Callable[[float], bool] = lambda news_age_s: True,
+        may_read: Callable[[float], bool] = lambda progress_age_s: True,
         now: Callable[[], float] = time.monotonic,
     ) -> None:
         self.topic = topic
@@ -70,16 +69,16 @@
         self._may_read = may_read
         self._now = now
         self._needs_snapshot = True
-        self._news_at = 0.0
+        self._progress_at = 0.0
         self._reading = False
-        self._read_began_at: float | None = None
+        self._read_started_at: float | None = None
         self._answered_at: float | None = None
 
     async def follow(self) -> None:
-        """Read for ever; failures are logged once and tried again."""
+        """Read for ever; failures are retried, the first of a series is logged."""
         while True:
-            if not self._needs_snapshot and not self._may_read(self._news_age_s()):
-                await asyncio.sleep(NEWS_LOOK_S)
+            if not self._needs_snapshot and not self._may_read(self._progress_age_s()):
+                await asyncio.sleep(STALENESS_CHECK_INTERVAL_S)
                 continue
             try:
                 await self._step()
@@ -90,37 +89,39 @@
                 continue
             except StoreError as error:
                 self._on_failure()
-                self._lost(str(error), self.open_read_s())
+                self._on_lost(str(error), self.open_read_s())
                 if not isinstance(error, NoAnswerError):
                     await asyncio.sleep(self._retry_s())
                 continue
             self._answered_at = self._now()
             self._on_answer()
-            self._regained()
+            self._on_regained()
             await asyncio.sleep(self._pause_s())
 
     def open_read_s(self) -> float | None:
-        """Return for how long the last read has gone without an answer, if it has."""
-        began_at, answered_at = self._read_began_at, self._answered_at
-        if began_at is None or (answered_at is not None and answered_at >= began_at):
+        """Return the age of the last read in seconds, None if it was answered."""
+        started_at, answered_at = self._read_started_at, self._answered_at
+        if started_at is None or (
+            answered_at is not None and answered_at >= started_at
+        ):
             return None
-        return self._now() - began_at
+        return self._now() - started_at
 
     def answered_s_ago(self) -> float | None:
-        """Return how long ago the store answered a read, None if it never did."""
+        """Return the seconds since the store answered a read, None if it never did."""
         return None if self._answered_at is None else self._now() - self._answered_at
 
     async def _step(self) -> None:
-        self._read_began_at = self._now()
+        self._read_started_at = self._now()
         self._reading = True
         try:
             await (self._read_all() if self._needs_snapshot else self._read_next())
         finally:
             self._reading = False
-        self._news_at = self._now()
+        self._progress_at = self._now()
 
     async def _read_all(self) -> None:
-        """Read the newest record of each key; a key that is missing is gone."""
+        """Read the newest record of each key; known keys that are missing are gone."""
         snapshot = await self._store.newest(self.topic)
         present = {record.key for record in snapshot.records}
         last = max(0, snapshot.end - 1)
@@ -136,7 +137,7 @@
         self._apply(records, following)
 
     def _apply(self, records: Iterable[KeyedRecord], next_offset: int) -> None:
-        """Hand records on, and keep those that changed something for other VMs."""
+        """Pass records on, and keep those that changed something for other VMs."""
         known = self.changes.next_offset or 0
         changed = [r for r in records if self._on_record(r) is not False]
         rows = [(r.key, r.value, max(r.offset, known)) for r in changed]
@@ -147,23 +148,23 @@
     def take(
         self, first_offset: int, next_offset: int, rows: Iterable[TopicRow]
     ) -> None:
-        """Take what another VM knows, if nothing is missing before it.
+        """Apply rows of another VM, if no earlier offset is missing.
 
-        Not during a read of our own: what we took from others would seem unchanged in
-        what we read, so that VMs that hear us first would never learn of it.
+        Ignored during a read of this VM: the read would contain the rows as unchanged,
+        and they would not be passed on to VMs that receive updates only from here.
         """
         known = self.changes.next_offset
         if self._reading or known is None or first_offset > known:
             return
         if next_offset <= known:
             return
-        self._news_at = self._now()
+        self._progress_at = self._now()
         self._apply([KeyedRecord(*row) for row in rows if row[2] >= known], next_offset)
 
-    def _news_age_s(self) -> float:
-        return self._now() - self._news_at
+    def _progress_age_s(self) -> float:
+        return self._now() - self._progress_at
 
-    def _lost(self, error: str, open_s: float | None) -> None:
+    def _on_lost(self, error: str, open_s: float | None) -> None:
         if self.reachable:
             self._journal.write(
                 "store_lost",
@@ -174,7 +175,7 @@
             )
         self.reachable = False
 
-    def _regained(self) -> None:
+    def _on_regained(self) -> None:
         if not self.reachable:
             offset = self.changes.next_offset
             self._journal.write("store_regained", topic=self.topic, offset=offset)
--- a/bamboovale/gateway/isolation.py
+++ b/bamboovale/gateway/isolation.py
@@ -1,4 +1,4 @@
-"""Steps back while most other entry VMs do not hear this one."""
+"""Suspends ownership of engines while this VM is isolated from most other VMs."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,15 +8,15 @@
 from bamboovale.gateway.store import MetadataStore, StoreError
 from bamboovale.gateway.vm_state import VMState
 
-LOOK_S = 0.5
-"""Between two looks whether most peers are silent: a third of the time that this must
-last."""
-ISOLATED_AFTER_S = 1.5
-"""Beside two intervals: by then VMs that start together have heard of one another."""
+CHECK_INTERVAL_S = 0.5
+"""Interval of checks whether most peers are silent."""
+ISOLATION_DELAY_S = 1.5
+"""How long most peers must be silent, beside two gossip intervals: VMs that start
+together have received gossip from one another by then."""
 
 
 class Isolation:
-    """Watches whether we are cut off from the fleet, but not from the store."""
+    """Detects that this VM is cut off from the fleet, but not from the store."""
 
     def __init__(
         self,
@@ -24,24 +24,24 @@
         exchange: Exchange,
         ownership: Ownership,
         store: MetadataStore,
-        tell: Callable[[], None],
+        announce: Callable[[], None],
     ) -> None:
         self._state = state
         self._exchange = exchange
         self._ownership = ownership
         self._store = store
-        self._tell = tell
+        self._announce = announce
 
     async def watch(self) -> None:
-        """Step back and take part again, for ever.
+        """Suspend and resume ownership as isolation begins and ends, for ever.
 
-        Guards against a VM that is cut off from its peers only: it would keep engines
-        that nobody can ask for, and send callers to itself. The store tells such a cut
-        from the death of many VMs, whose memberships lapse.
+        Guards against a VM that is cut off from its peers only and keeps engines that
+        no peer can use. The store's members distinguish this from the death of many
+        VMs, whose memberships expire.
         """
         since = self._state.now()
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             heard, silent = self._exchange.neighbours.heard_and_silent(
                 self._state.now()
             )
@@ -49,10 +49,10 @@
             if not minority:
                 since = self._state.now()
             if minority and not self._state.isolated:
-                heard_all_s = (
-                    ISOLATED_AFTER_S + 2 * self._exchange.neighbours.interval_s()
+                isolated_after_s = (
+                    ISOLATION_DELAY_S + 2 * self._exchange.neighbours.interval_s()
                 )
-                if self._state.now() - since < heard_all_s:
+                if self._state.now() - since < isolated_after_s:
                     continue
                 try:
                     members = await self._store.members(GROUP)
@@ -69,9 +69,10 @@
         heard: set[str],
         silent: set[str],
     ) -> bool:
-        """Tell whether most VMs that the store hears are silent to us.
+        """Return whether most members of the store's group are silent here.
 
-        Of a large fleet we watch a few; where we hear none of them, we hear nobody.
+        In a large fleet only a few VMs are watched; if none of these is heard, no VM
+        is considered reachable.
         """
         others = members - {self._state.node.name}
         if not heard:
@@ -85,5 +86,5 @@
             heard=sorted(heard),
             silent=sorted(silent),
         )
-        self._tell()
+        self._announce()
         await self._ownership.set_suspended(isolated)
--- a/bamboovale/gateway/journal.py
+++ b/bamboovale/gateway/journal.py
@@ -1,8 +1,8 @@
-"""Structured log lines that explain a request or a change of belief afterwards.
+"""Structured log lines that explain requests and state changes.
 
-One JSON object a line on standard output. Lines of one event are bounded; what
-is left out is counted and told by the next line that passes. Writing never blocks: a
-reader that does not keep up loses lines, which are counted too.
+Each line on standard output is a JSON object. Lines are rate-limited by event name; the
+next line that passes reports how many were dropped. Writing never blocks: lines are
+dropped and counted if the reader does not keep up.
 """
 
 import json
@@ -14,20 +14,20 @@
 from collections.abc import Callable
 from typing import Any, TextIO
 
-LINES_PER_S = 150.0
-"""For each event name: some 30 KB/s, far above a quiet day's requests of one VM."""
+MAX_LINES_PER_S = 150.0
+"""Rate limit of each event name; also bounds the log's bandwidth."""
 BURST_LINES = 600.0
 
 JOURNAL_NAME = "bamboovale.journal"
 
 
 def finite_age_s(age_s: float) -> float | None:
-    """Return an age in seconds as lines show it, None for what never was."""
+    """Return an age in seconds rounded for a log line, None if it is infinite."""
     return round(age_s, 3) if math.isfinite(age_s) else None
 
 
-class _Rate:
-    """A token bucket for the lines of one event."""
+class _TokenBucket:
+    """A token bucket for the lines of one event name."""
 
     def __init__(self, now: float) -> None:
         self.left = BURST_LINES
@@ -35,7 +35,7 @@
         self.dropped = 0
 
     def take(self, now: float) -> bool:
-        self.left = min(BURST_LINES, self.left + (now - self.at) * LINES_PER_S)
+        self.left = min(BURST_LINES, self.left + (now - self.at) * MAX_LINES_PER_S)
         self.at = now
         if self.left < 1.0:
             self.dropped += 1
@@ -45,10 +45,10 @@
 
 
 class Journal:
-    """Writes events of one VM as lines.
+    """Writes the log lines of one VM.
 
-    ``at`` is the VM's steady clock, by which spans are measured; ``time`` is its time
-    of day in seconds, which may jump, by which lines of several VMs are laid together.
+    Field ``at`` is the VM's monotonic clock, for measuring durations; ``time`` is its
+    wall clock in seconds, which may jump, for merging the lines of several VMs.
     """
 
     def __init__(
@@ -62,17 +62,17 @@
         self._logger = logger or logging.getLogger(JOURNAL_NAME)
         self._now = now
         self._time_of_day = time_of_day
-        self._rate_by_event: dict[str, _Rate] = {}
+        self._bucket_by_event: dict[str, _TokenBucket] = {}
 
     def write(self, event: str, **fields: Any) -> None:
-        """Write one line; ``fields`` say what was decided and from which inputs."""
+        """Write one line; ``fields`` are a decision and the inputs it was based on."""
         now = self._now()
-        rate = self._rate_by_event.setdefault(event, _Rate(now))
-        if not rate.take(now):
+        bucket = self._bucket_by_event.setdefault(event, _TokenBucket(now))
+        if not bucket.take(now):
             return
-        if rate.dropped:
-            fields["lines_left_out"] = rate.dropped
-            rate.dropped = 0
+        if bucket.dropped:
+            fields["lines_left_out"] = bucket.dropped
+            bucket.dropped = 0
         line = {
             "event": event,
             "vm": self._vm_id,
@@ -84,7 +84,7 @@
 
 
 class NonBlockingHandler(logging.Handler):
-    """Writes lines to a stream's descriptor; drops them when it is full."""
+    """Writes lines to a stream's file descriptor; drops them when it is full."""
 
     def __init__(self, stream: TextIO) -> None:
         super().__init__()
@@ -102,7 +102,7 @@
 
 
 class _LineFormatter(logging.Formatter):
-    """Passes journal lines as they are; wraps other records as JSON."""
+    """Formats journal lines unchanged and other log records as JSON."""
 
     def format(self, record: logging.LogRecord) -> str:
         """Return one line of JSON."""
@@ -120,7 +120,7 @@
 
 
 def configure_journal(stream: TextIO = sys.stdout) -> NonBlockingHandler:
-    """Send the program's lines to standard output without ever blocking."""
+    """Install a non-blocking handler for the program's log lines."""
     handler = NonBlockingHandler(stream)
     handler.setFormatter(_LineFormatter())
     logger = logging.getLogger("bamboovale")
--- a/bamboovale/gateway/messages.py
+++ b/bamboovale/gateway/messages.py
@@ -1,4 +1,4 @@
-"""What entry VMs say to one another about the routed interface."""
+"""Messages between entry VMs on the routed interface."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 @message("place_ask")
 @dataclass(frozen=True)
 class PlaceRequest:
-    """Ask an engine's owner for a place; times are durations in seconds."""
+    """Request for a place, to an engine's owner; times are durations in seconds."""
 
     engine_id: str
     ask_id: str
@@ -26,11 +26,11 @@
 @message("place_reply")
 @dataclass(frozen=True)
 class PlaceReply:
-    """The owner's decision: a version to expect, or why there is no place.
+    """The owner's decision: the version to expect, or why there is no place.
 
-    ``not_owner`` tells that another VM owns the engine now. ``confirmed`` is False if
-    the adapter is only expected to be loaded. ``paced_s`` is for how long only the
-    pauses of other streams kept the request waiting.
+    ``not_owner`` is true if the VM no longer owns the engine. ``confirmed`` is false
+    if the adapter is expected to be loaded but was not reported so. ``paced_s`` is how
+    long the request was queued only to avoid stalls of other streams.
     """
 
     ask_id: str
@@ -45,7 +45,7 @@
 @message("place_cancel")
 @dataclass(frozen=True)
 class PlaceCancel:
-    """The caller is gone, or another engine was chosen."""
+    """Cancels a request: the caller disconnected, or another engine was chosen."""
 
     engine_id: str
     ask_id: str
@@ -54,10 +54,11 @@
 @message("place_release")
 @dataclass(frozen=True)
 class PlaceRelease:
-    """The run is over.
+    """Releases a place whose run is over.
 
-    ``refused`` if the engine did not run it, ``not_held`` if it lacked the adapter.
-    ``aborted`` if we broke it off: the engine may work on it for a while.
+    ``refused`` is true if the engine did not run the request, ``not_held`` if it lacked
+    the adapter, ``aborted`` if the sender aborted the run, on which the engine may
+    still work for a while.
     """
 
     engine_id: str
@@ -70,7 +71,7 @@
 @message("place_held")
 @dataclass(frozen=True)
 class PlaceHeld:
-    """A run under way, told to an engine's new owner."""
+    """A run in flight, sent to the new owner of its engine."""
 
     engine_id: str
     ask_id: str
@@ -85,7 +86,7 @@
 @message("place_started")
 @dataclass(frozen=True)
 class PlaceStarted:
-    """The first event of the run has come."""
+    """The first event of the run was received."""
 
     engine_id: str
     ask_id: str
@@ -94,7 +95,7 @@
 @message("place_paused")
 @dataclass(frozen=True)
 class PlacePaused:
-    """The run's stream has just paused for longer than its route allows."""
+    """The run's stream paused for longer than its route allows."""
 
     engine_id: str
     ask_id: str
@@ -104,10 +105,10 @@
 @row
 @dataclass(frozen=True)
 class EngineStatus:
-    """What an owner tells of one engine; adapters are (model, adapter, version).
+    """Status of one engine; adapters are (model, adapter, version).
 
-    ``fence`` is the fencing number of its orders; ``answers`` is False while the engine
-    refuses connections.
+    ``coming`` are adapters that are being loaded. ``fence`` is the fencing number of
+    the owner's orders; ``answers`` is false while the engine refuses connections.
     """
 
     engine_id: str
@@ -129,7 +130,7 @@
 @row
 @dataclass(frozen=True)
 class EngineLoad:
-    """How busy one engine is now: what changes with every request."""
+    """Load of one engine: the part of its status that changes with every request."""
 
     engine_id: str
     active: int
@@ -141,7 +142,7 @@
 @message("engine_loads")
 @dataclass(frozen=True)
 class EngineLoads:
-    """What an owner tells of its engines between two statuses."""
+    """Loads of an owner's engines, sent between two statuses."""
 
     loads: tuple[EngineLoad, ...]
 
@@ -149,7 +150,7 @@
 @message("engine_statuses")
 @dataclass(frozen=True)
 class EngineStatuses:
-    """What an owner tells of all its engines, to VMs that asked of late."""
+    """Status of all engines of an owner, sent to its subscribers."""
 
     statuses: tuple[EngineStatus, ...]
 
@@ -157,13 +158,13 @@
 @message("statuses_wanted")
 @dataclass(frozen=True)
 class StatusSubscription:
-    """Ask an owner to tell of its engines for the next seconds."""
+    """Subscribes to an owner's engine status for the next seconds."""
 
 
 @message("table_query")
 @dataclass(frozen=True)
 class TableQuery:
-    """Ask a peer for its configuration."""
+    """Request for a peer's configuration."""
 
 
 @message("table_answer")
--- a/bamboovale/gateway/request_handler.py
+++ b/bamboovale/gateway/request_handler.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests: finds the route, bounds the time, answers every one."""
+"""Handles callers' requests: finds the route, sets the deadline, always answers."""
 
 import asyncio
 import random
@@ -15,16 +15,15 @@
 from bamboovale.metrics import Metrics
 
 NOT_READY_RETRY_S = 1.0
-"""A VM knows its configuration 0.02 s after its start and all endpoints some seconds
-later; other VMs may serve at once."""
+"""Retry delay while this VM has no configuration or is draining."""
 SUSPECT_RETRY_S = 30.0
-"""A request that crashes endpoints will do so again; nobody should try it soon."""
-DEFAULT_WAIT_S = 60.0
-"""For a caller that names no deadline; the route's own time-out is shorter."""
+"""Retry delay for a request that crashes endpoints, as it will do so again."""
+DEFAULT_TIMEOUT_S = 60.0
+"""Timeout for callers that set no deadline; bounded by the route's timeout."""
 
 
 class RequestHandler:
-    """Handles one request at a time for each connection."""
+    """Dispatches callers' requests to plain services and engines, and answers them."""
 
     def __init__(
         self,
@@ -48,7 +47,7 @@
         self._rng = rng
 
     async def handle(self, request: Request, responder: Responder) -> None:
-        """Answer one request; the task is cancelled if its caller leaves."""
+        """Answer one request; the task is cancelled if its caller disconnects."""
         if self._state.stopping:
             responder.close_after()
         try:
@@ -59,22 +58,22 @@
             return
         table = self._state.table
         if table is None or not self._state.takes_work():
-            self._log_short(request, facts, "not_ready", table)
+            self._log_unrouted(request, facts, "not_ready", table)
             self._refuse(responder, facts, NOT_READY_RETRY_S)
             return
         route = table.match(facts.host, request.target)
         if route is None:
-            self._log_short(request, facts, "no_route", table)
+            self._log_unrouted(request, facts, "no_route", table)
             self._answer(responder, 404, None, facts.request_id)
             return
-        await self._carry(request, facts, route, table, responder)
+        await self._handle_routed(request, facts, route, table, responder)
 
     def on_bad_request(self, bad: BadRequest) -> None:
-        """Count and log bytes that are no acceptable request."""
+        """Count and log a malformed request."""
         self._metrics.gateway_requests.labels("bad_request", "none").inc()
         self._journal.write("bad_request", status=bad.status, reason=str(bad))
 
-    async def _carry(
+    async def _handle_routed(
         self,
         request: Request,
         facts: CallFacts,
@@ -82,7 +81,7 @@
         table: RoutingTable,
         responder: Responder,
     ) -> None:
-        wait_s = min(route.timeout_s, facts.deadline_s or DEFAULT_WAIT_S)
+        wait_s = min(route.timeout_s, facts.deadline_s or DEFAULT_TIMEOUT_S)
         call = Call(
             request=request,
             facts=facts,
@@ -98,7 +97,7 @@
             self._log(call, outcome, table)
 
     async def _run(self, call: Call, table: RoutingTable) -> str:
-        """Run the call to its final answer; return the outcome for log and counter."""
+        """Run the call to its final answer; return the outcome for log and metrics."""
         try:
             async with asyncio.timeout_at(call.deadline):
                 await self._dispatch(call, table)
@@ -116,18 +115,20 @@
     async def _dispatch(self, call: Call, table: RoutingTable) -> None:
         service = table.service_by_name.get(call.service)
         work = call.facts.work
-        print_of = fingerprint(call.facts.host, call.request.target, call.request.body)
-        if self._crashes.is_blocked(print_of):
-            raise CallRefused("it crashed endpoints before", SUSPECT_RETRY_S)
+        request_fingerprint = fingerprint(
+            call.facts.host, call.request.target, call.request.body
+        )
+        if self._crashes.is_blocked(request_fingerprint):
+            raise CallRefused("the request crashed endpoints before", SUSPECT_RETRY_S)
         if service is None or service.engines is None or work is None:
-            with self._crashes.track(print_of, call):
+            with self._crashes.track(request_fingerprint, call):
                 await self._plain_calls.run(call)
             return
         if work.model not in service.engines.model_by_name:
             self._answer(call.responder, 404, None, call.facts.request_id)
             call.notes["reason"] = "unknown model"
             return
-        with self._crashes.track(print_of, call):
+        with self._crashes.track(request_fingerprint, call):
             await self._model_calls.run(call, work)
 
     def _pick_service(self, route: Route) -> str:
@@ -139,7 +140,7 @@
     def _fail(self, call: Call, status: int, outcome: str) -> str:
         """End a call whose request may have run."""
         if call.responder.started:
-            # Ended properly, a stream without its last events would look whole.
+            # A regular end would make a truncated stream look complete.
             call.responder.abort()
         else:
             self._answer(call.responder, status, None, call.facts.request_id)
@@ -152,7 +153,7 @@
         facts: CallFacts,
         retry_after_s: float,
     ) -> None:
-        # Callers refused together must not come back together.
+        # Jitter: callers refused together must not retry together.
         spread_s = retry_after_s * self._rng.uniform(0.75, 1.25)
         self._answer(responder, 503, spread_s, facts.request_id)
 
@@ -166,7 +167,7 @@
         headers = self._codec.encode_refusal(retry_after_s, request_id)
         responder.answer(status, headers, b"")
 
-    def _log_short(
+    def _log_unrouted(
         self,
         request: Request,
         facts: CallFacts,
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -654,7 +654,7 @@
         on_record=lambda record: seen.append(record.offset),
         wait_s=0.0,
         pause_s=lambda: 0.01,
-        may_read=lambda news_age_s: reads,
+        may_read=lambda progress_age_s: reads,
     )
 
 
