--- a/bamboovale/gateway/messages.py
+++ b/bamboovale/gateway/messages.py
@@ -28,9 +28,10 @@
 class PlaceReply:
     """The owner's decision: the version to expect, or why there is no place.
 
-    ``not_owner`` is true if the VM no longer owns the engine. ``confirmed`` is false
-    if the adapter is expected to be loaded but was not reported so. ``paced_s`` is how
-    long the request was queued only to avoid stalls of other streams.
+    ``not_owner`` is true if the VM does not own the engine or cannot use it.
+    ``confirmed`` is false if the adapter is expected to be loaded but was not reported
+    so. ``paced_s`` is how long the request was queued only to avoid stalls of other
+    streams.
     """
 
     ask_id: str
--- a/bamboovale/gateway/model.py
+++ b/bamboovale/gateway/model.py
@@ -1,4 +1,4 @@
-"""What the routed interface knows: routes, services, endpoints and requests."""
+"""Data model of the routed interface: routes, services, endpoints and requests."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 
 class CallKind(Enum):
-    """What may be repeated: ``SAFE`` any time, the others once at most."""
+    """Whether a call may be retried: ``SAFE`` always, the others run at most once."""
 
     SAFE = auto()
     UNSAFE = auto()
@@ -20,8 +20,9 @@
 class Route:
     """One route; times in seconds, ``weight_by_service`` splits its traffic.
 
-    ``goal_s`` is the time within which an answer is worth most. ``priority`` 0 is the
-    most urgent. ``gap_s`` is the longest good pause between events of a stream.
+    ``goal_s`` is the time within which an answer has its full value. ``priority`` 0 is
+    the most urgent. ``gap_s`` is the longest acceptable pause between events of a
+    stream. A stream that is ``resumable`` may be continued by another engine.
     """
 
     name: str
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True)
 class BaseModel:
-    """A base model: weights in MB, load time in seconds, its adapters in number."""
+    """A base model: weights in MB, load time in seconds, number of adapters."""
 
     name: str
     weights_mb: float
@@ -50,9 +51,9 @@
 
 @dataclass(frozen=True)
 class EnginePool:
-    """What all engines of a service have in common; ``loads_per_s`` over all of them.
+    """Properties of all engines of a service; ``loads_per_s`` is their total.
 
-    ``slots`` are requests in one batch, ``kv_tokens`` the memory for their tokens.
+    ``slots`` is the batch size, ``kv_tokens`` the KV cache's capacity in tokens.
     """
 
     slots: int
@@ -74,7 +75,7 @@
 
 @dataclass(frozen=True)
 class CallerLimits:
-    """What callers may send; bytes and seconds."""
+    """Limits of callers' requests, in bytes and seconds."""
 
     head_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
@@ -84,7 +85,7 @@
 
 @dataclass(frozen=True)
 class RoutingTable:
-    """One version of the whole configuration; never changed in place."""
+    """One version of the whole configuration; immutable."""
 
     version: int
     routes: tuple[Route, ...]
@@ -105,7 +106,7 @@
         limits: CallerLimits,
         source: bytes = b"",
     ) -> "RoutingTable":
-        """Index the routes by host and prefix, so that a look-up costs no scan."""
+        """Return a table whose routes are indexed by host and path prefix."""
         index: dict[str, dict[str, Route]] = {}
         for route in routes:
             index.setdefault(route.host.lower(), {})[route.path_prefix] = route
@@ -127,13 +128,13 @@
 
 
 def _bare_host(host: str) -> str:
-    """Return the name without port, lower case."""
+    """Return the host name without port, in lower case."""
     return (urlsplit(f"//{host}").hostname or "") if ":" in host else host.lower()
 
 
 @dataclass(frozen=True)
 class LoadedModel:
-    """A base model at an engine, with the versions of its adapters by name."""
+    """A base model loaded at an engine, with the versions of its adapters by name."""
 
     name: str
     version: int
@@ -166,7 +167,7 @@
         object.__setattr__(self, "endpoint_id", f"{self.registered_id}{start}")
 
     def is_start_before(self, other: "EndpointRecord") -> bool:
-        """Tell whether this is an earlier start of the same endpoint than the other."""
+        """Return whether this start of the endpoint is earlier than the other."""
         return (self.started_ms or 0) < (other.started_ms or 0)
 
 
@@ -174,8 +175,8 @@
 class EngineReport:
     """An engine's own report, some 100 ms old; ``orders`` counts accepted orders.
 
-    ``loading`` are adapters in transit as (model, adapter); ``running`` the ids of the
-    requests that run. ``started_ms`` tells which start of the engine speaks.
+    ``loading`` are adapters being loaded as (model, adapter); ``running`` the ids of
+    running requests. ``started_ms`` is the start time of the engine that reports.
     """
 
     models: tuple[LoadedModel, ...]
@@ -199,7 +200,7 @@
 
 
 class OrderOutcome(Enum):
-    """What is known of an order after the call; ``UNKNOWN`` may be carried out late."""
+    """Outcome of an order; after ``UNKNOWN`` it may still be carried out."""
 
     ACCEPTED = auto()
     HOLDS = auto()
@@ -212,7 +213,7 @@
 
 @dataclass(frozen=True)
 class ModelWork:
-    """What a request asks of an engine.
+    """The work that a request means for an engine.
 
     ``prompt_tokens`` and ``output_tokens`` are its upper bounds; ``prompt_parts`` are
     (id, tokens) in order, shared with other requests but for the last.
@@ -227,10 +228,10 @@
 
 @dataclass(frozen=True)
 class CallFacts:
-    """A caller's request, decoded; ``deadline_s`` is what the caller will wait.
+    """A caller's request, decoded; ``deadline_s`` is how long the caller will wait.
 
-    ``forward`` are the headers that pass on unchanged. ``resume_after`` is the last
-    event that the caller has of a stream.
+    ``forward`` are the headers to forward unchanged. ``resume_after`` is the id of the
+    last event of a stream that the caller received.
     """
 
     request_id: str
@@ -245,8 +246,8 @@
 class AnswerFacts:
     """The head of an endpoint's answer, decoded.
 
-    ``not_run`` is the endpoint's promise that it did not run the request. ``signed``
-    tells that it carries the endpoint's signature.
+    ``not_run`` is the endpoint's guarantee that it did not run the request. ``signed``
+    is whether the answer carries the endpoint's signature.
     """
 
     status: int
@@ -259,7 +260,7 @@
 
     @property
     def is_event_stream(self) -> bool:
-        """Tell whether the body is a stream of server-sent events."""
+        """Return whether the body is a stream of server-sent events."""
         return any(
             name == b"content-type" and value.startswith(b"text/event-stream")
             for name, value in self.headers
--- a/bamboovale/gateway/model_calls.py
+++ b/bamboovale/gateway/model_calls.py
@@ -1,4 +1,4 @@
-"""Requests for a model: a place at an engine, then the stream from there."""
+"""Requests for a model: gets a place at an engine and forwards its stream."""
 
 from collections.abc import Callable
 
@@ -19,16 +19,16 @@
 from bamboovale.gateway.stream_progress import Progress, StreamCut
 from bamboovale.http1.connection import AnswerBroken
 
-MOST_TRIES = 4
-"""Engines asked for one request; what cannot be placed by then is refused."""
-URGENCY_BASE = 4
-"""Urgency of the most urgent routes; the engine's own default is one below."""
-URGENCY_LAST = 9
+MAX_ATTEMPTS = 4
+"""Engines that are tried for one request before it is refused."""
+MOST_URGENT = 4
+"""Urgency of the most urgent routes, one above the engine's default."""
+LEAST_URGENT = 9
 OK = 200
 
 
 class ModelCalls:
-    """Carries requests to engines."""
+    """Runs requests at engines."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
     async def _run(self, call: Call, work: ModelWork, progress: Progress) -> None:
         share = self._share_of(call.service)
         share.on_fresh(self._now())
-        for _ in range(MOST_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             engine, place = await self._search.find(call, work, progress)
             if progress.arrivals and not share.take(self._now()):
                 if place is not None:
@@ -87,7 +87,7 @@
         place: GrantedPlace | None,
         progress: Progress,
     ) -> bool:
-        """Return True once the caller has the whole answer, False to try again."""
+        """Return True once the caller has the whole answer, False to retry."""
         started_at = self._now()
         note = call.note_attempt(endpoint=record.endpoint_id)
         refused = not_held = False
@@ -101,7 +101,7 @@
             progress.arrivals += error.reached
             refused = error.reached
             not_held = error.wrong_endpoint
-            # Sent before the load was complete: the same engine is asked again.
+            # If it was sent before the load was complete, the engine is retried.
             if not not_held and (place is None or place.confirmed):
                 progress.excluded.add(record.endpoint_id)
             return False
@@ -123,7 +123,7 @@
                 )
 
     def _check_resumable(self, call: Call, progress: Progress, reason: str) -> None:
-        """Raise unless another engine may go on with the stream."""
+        """Raise StreamCut or CallFailed unless another engine may go on."""
         if call.route.resumable and progress.runs < call.route.max_attempts:
             progress.events.discard_partial()
             return
@@ -146,7 +146,7 @@
                 registered_id=record.registered_id,
                 left_s=call.left_s(self._now()),
                 version=place.version if place else self._least_version(work),
-                urgency=min(URGENCY_LAST, URGENCY_BASE + call.route.priority),
+                urgency=min(LEAST_URGENT, MOST_URGENT + call.route.priority),
                 resume_after=progress.events.last_id,
             )
             attempt = await self._client.send(
@@ -156,35 +156,34 @@
                 call.facts.request_id,
             )
             if attempt.facts.status != OK or not attempt.facts.is_event_stream:
-                await self._pass_whole(call, attempt, progress)
+                await self._forward_body(call, attempt, progress)
             else:
-                await self._pass_events(call, attempt, place, progress)
+                await self._forward_events(call, attempt, place, progress)
 
     def _least_version(self, work: ModelWork) -> int | None:
-        """Return the version to expect at an engine that is sent to without an owner.
+        """Return the version to require of an engine without an owner.
 
-        Guards against an old version: what its last owner told may not have come
-        about, and an engine that is told no version runs what it has. It refuses the
-        request instead, and another engine is tried.
+        Guards against running an old version: without a required version the engine
+        would run the one it holds.
         """
         if work.adapter is None:
             return None
         return self._version_of(work.model, work.adapter)
 
-    async def _pass_whole(
+    async def _forward_body(
         self,
         call: Call,
         attempt: EndpointAnswer,
         progress: Progress,
     ) -> None:
-        """Hand on an answer that is no stream, unless a stream has begun."""
+        """Forward an answer that is not a stream, unless a stream was started."""
         body = await attempt.read_body()
         if progress.started:
             raise StreamCut(f"engine said {attempt.facts.status}")
         call.notes["status"] = attempt.facts.status
         call.responder.answer(attempt.facts.status, attempt.facts.headers, body)
 
-    async def _pass_events(
+    async def _forward_events(
         self,
         call: Call,
         attempt: EndpointAnswer,
@@ -201,28 +200,30 @@
                     self._engines.notify_started(place)
                 first = False
                 pause_s = progress.pauses.on_events(len(events), self._now())
-                if place is not None and self._is_first_long(call, progress, pause_s):
+                if place is not None and self._is_first_stall(call, progress, pause_s):
                     self._engines.notify_paused(place, pause_s)
-                self._start(call, attempt, progress)
+                self._start_answer(call, attempt, progress)
                 await call.responder.write(b"".join(event.data for event in events))
         except (AnswerBroken, EventsBroken) as error:
             raise StreamCut(f"stream cut: {error}") from error
         if progress.events.has_partial:
             raise StreamCut("the stream ended within an event")
-        self._start(call, attempt, progress)
+        self._start_answer(call, attempt, progress)
         call.responder.finish()
         call.notes["status"] = OK
 
-    def _is_first_long(self, call: Call, progress: Progress, pause_s: float) -> bool:
-        """Tell whether the stream has just become late by a pause."""
+    def _is_first_stall(self, call: Call, progress: Progress, pause_s: float) -> bool:
+        """Return whether this is the stream's first pause beyond the route's limit."""
         allowed_s = call.route.gap_s
         if allowed_s is None or pause_s <= allowed_s or progress.stalled:
             return False
         progress.stalled = True
         return True
 
-    def _start(self, call: Call, attempt: EndpointAnswer, progress: Progress) -> None:
-        """Send the head with the first event: until then another engine may answer."""
+    def _start_answer(
+        self, call: Call, attempt: EndpointAnswer, progress: Progress
+    ) -> None:
+        """Send the head with the first event: before, another engine may answer."""
         if progress.started:
             return
         progress.started = True
--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -1,4 +1,4 @@
-"""Talking with the other entry VMs: who lives, who owns what, who needs what."""
+"""Communication with other entry VMs: gossip, place requests and engine status."""
 
 import asyncio
 import random
@@ -41,30 +41,30 @@
 
 PlaceNotice = PlaceCancel | PlaceRelease | PlaceHeld | PlaceStarted | PlacePaused
 PLACE_NOTICES = get_args(PlaceNotice)
-"""What concerns a place; for the engine's owner."""
+"""Notices about a place, for the engine's owner."""
 TABLE_TIMEOUT_S = 1.0
-"""A peer answers from memory; past this the next message names whom to ask."""
-LAG_WARNING_S = 0.5
-"""Lateness of the event loop that is logged: half of the time after which neighbours
-take a VM for silent."""
-START_WAIT_S = 0.5
-"""For so long a VM that starts waits to be able to serve before it tells of itself:
-what it tells crosses every link of the fleet, each time it changes."""
-START_LOOK_S = 0.02
-FENCES_S = 2.0
-"""Between two words on fencing numbers alone: they rise at all engines with each change
-of any owner, and decide only between two VMs that claim the same engine."""
-LOOK_S = 0.3
-"""Between two looks at what follows from the news of others."""
-STORE_LOST_S = 3.0
-"""Without an answer of the store to any VM for so long a VM stands in for a lost owner:
-a wrong look would set two owners against each other."""
-NAMED_IN_LOG = 12
-"""VMs of each list in one log line; after a restart of all there are hundreds."""
+"""Timeout of a peer's configuration; gossip names a peer to ask next."""
+LOOP_LAG_LOG_S = 0.5
+"""Lateness of the event loop that is logged, below the time after which neighbours
+suspect a VM."""
+ANNOUNCE_DELAY_S = 0.5
+"""How long a starting VM waits to be able to serve before it announces itself, as each
+change of its announcement is sent over every link of the fleet."""
+START_POLL_INTERVAL_S = 0.02
+FENCE_ANNOUNCE_INTERVAL_S = 2.0
+"""Interval of announcements of changed fencing numbers alone, which rise at all engines
+with each change of an owner."""
+POLL_INTERVAL_S = 0.3
+"""Interval at which gossip from other VMs is acted upon."""
+STORE_OUTAGE_S = 3.0
+"""Time without an answer of the store to any VM before lost engines are taken over;
+guards against two owners of an engine."""
+MAX_IDS_IN_LOG = 12
+"""VMs listed in one field of a log line, as a large fleet has hundreds."""
 
 
 class Peering:
-    """The tasks and handlers of one VM's talk with its peers."""
+    """Tasks and message handlers of one VM's communication with its peers."""
 
     def __init__(
         self,
@@ -86,9 +86,9 @@
         self._assignment = assignment
         self._records = records
         self._crashes = crashes
-        self._news = asyncio.Event()
+        self._wake_event = asyncio.Event()
         self._seen_version = -1
-        self._fences_told_at = -FENCES_S
+        self._fences_announced_at = -FENCE_ANNOUNCE_INTERVAL_S
         self._lateness = LatenessWatch()
         self._live: set[str] = set()
         self.status_exchange = EngineStatusExchange(state, engines, links)
@@ -105,81 +105,81 @@
         )
 
     def announce(self) -> None:
-        """Tell what has changed of us with the next message to each neighbour."""
+        """Update this VM's membership entry and gossip it if it changed."""
         self.exchange.config_version = self._config_version()
         is_new = self._state.fleet.membership.tell(
             serving=self._state.serving(),
-            owned=self._owned(),
+            owned=self._owned_to_announce(),
             busy=self._lateness.is_busy,
         )
         if is_new:
-            self._news.set()
+            self._wake_event.set()
 
-    def _owned(self) -> tuple[tuple[str, int], ...]:
-        """Return our engines with their fencing numbers, as told unless it is time."""
+    def _owned_to_announce(self) -> tuple[tuple[str, int], ...]:
+        """Return the owned engines with the fencing numbers to announce."""
         owned = tuple(
             (engine_id, self._ownership.fence(owner.record.registered_id))
             for engine_id, owner in sorted(self._engines.owner_by_engine.items())
         )
-        told = self._state.fleet.membership.own.owned
-        is_same = [engine_id for engine_id, _ in owned] == [e for e, _ in told]
+        announced = self._state.fleet.membership.own.owned
+        is_same = [engine_id for engine_id, _ in owned] == [e for e, _ in announced]
         now = self._state.now()
-        if is_same and now - self._fences_told_at < FENCES_S:
-            return told
-        self._fences_told_at = now
+        if is_same and now - self._fences_announced_at < FENCE_ANNOUNCE_INTERVAL_S:
+            return announced
+        self._fences_announced_at = now
         return owned
 
     def announce_leaving(self) -> None:
-        """Tell the neighbours that this process ends now."""
+        """Announce to the neighbours that this process ends."""
         self._state.fleet.membership.tell(serving=False, left=True)
         self.exchange.hurry()
         self._send_due()
 
     def broadcast_suspect(self, suspect: SuspectSeen) -> None:
-        """Tell every VM of a request that crashed its endpoint."""
+        """Gossip a request that crashed its endpoint to every VM."""
         if self.exchange.note_suspect(suspect):
-            self._news.set()
+            self._wake_event.set()
 
     def assign_engines(self) -> None:
-        """Own what we should; tell everybody at once if that changed."""
+        """Update the owned engines; announce them at once if they changed."""
         if self._assignment.assign():
             self.announce()
             self.status_exchange.publish_statuses()
             self._engines.notify_new_owners()
 
     def on_store_answer(self, *, settled: bool) -> None:
-        """Note that the store has answered us, and whether it is settled."""
+        """Record that the store answered this VM, and whether it is settled."""
         self.exchange.note_store_answer(self._state.now(), settled=settled)
 
     def wake(self) -> None:
-        """Send what is new without waiting for the next interval."""
-        self._news.set()
+        """Send pending gossip without waiting for the next interval."""
+        self._wake_event.set()
 
     async def exchange_forever(self) -> None:
-        """Exchange messages with the neighbours, for ever."""
+        """Exchange gossip with the neighbours, for ever."""
         await self._wait_until_serving()
         while True:
-            self._news.clear()
+            self._wake_event.clear()
             self._send_due()
             now = self._state.now()
             wait_s = self.exchange.next_at(now) - now
-            asleep_from = now
+            wait_started_at = now
             try:
                 async with asyncio.timeout(wait_s):
-                    await self._news.wait()
+                    await self._wake_event.wait()
             except TimeoutError:
-                self._note_lateness(self._state.now() - asleep_from - wait_s)
+                self._log_lateness(self._state.now() - wait_started_at - wait_s)
 
     async def _wait_until_serving(self) -> None:
-        began = self._state.now()
+        started_at = self._state.now()
         while not self._state.serving():
-            if self._state.now() - began > START_WAIT_S:
+            if self._state.now() - started_at > ANNOUNCE_DELAY_S:
                 break
-            await asyncio.sleep(START_LOOK_S)
+            await asyncio.sleep(START_POLL_INTERVAL_S)
         self.announce()
 
-    def _note_lateness(self, late_s: float) -> None:
-        if late_s > LAG_WARNING_S:
+    def _log_lateness(self, late_s: float) -> None:
+        if late_s > LOOP_LAG_LOG_S:
             self._state.journal.write("loop_late", late_s=round(late_s, 3))
 
     def _send_due(self) -> None:
@@ -187,17 +187,17 @@
             self._links.notify_all(targets, gossip)
 
     async def poll_forever(self) -> None:
-        """Act on what others have told, for ever."""
+        """Act on gossip received from other VMs, for ever."""
         while True:
-            due_at = self._state.now() + LOOK_S
-            await asyncio.sleep(LOOK_S)
+            due_at = self._state.now() + POLL_INTERVAL_S
+            await asyncio.sleep(POLL_INTERVAL_S)
             now = self._state.now()
             self._lateness.on_timer(now - due_at, now)
             self.announce()
-            self._note_live()
+            self._on_live_change()
             store_age_s = self._state.now() - self.exchange.store_answered_at
             if self._assignment.take_over_lost_engines(
-                store_answers_others=store_age_s <= STORE_LOST_S
+                store_answers_others=store_age_s <= STORE_OUTAGE_S
             ):
                 self.assign_engines()
             self._fetch_newer_table()
@@ -205,8 +205,8 @@
     def _config_version(self) -> int:
         return self._state.table.version if self._state.table else -1
 
-    def _note_live(self) -> None:
-        """Log VMs that came or fell silent; free what the silent ones held."""
+    def _on_live_change(self) -> None:
+        """Log VMs that joined or were lost; free the places of the lost ones."""
         if self._state.fleet.version == self._seen_version:
             return
         self._seen_version = self._state.fleet.version
@@ -218,12 +218,12 @@
             return
         self._state.journal.write(
             "peers",
-            came=_some(live - before),
-            silent=_some(before - live),
+            came=_first_ids(live - before),
+            silent=_first_ids(before - live),
             live=len(live) + 1,
             unheard_by={
                 vm_id: self._state.fleet.membership.observers_against(vm_id)
-                for vm_id in _some(before - live)
+                for vm_id in _first_ids(before - live)
             },
         )
         for vm_id in before - live:
@@ -233,9 +233,9 @@
             share.fleet_size = len(live) + 1
 
     def _fetch_newer_table(self) -> None:
-        """Take the configuration from a peer that has a newer one.
+        """Request the configuration from a peer that has a newer one.
 
-        Guards against a store that answers others and not us.
+        Guards against a store that is unreachable only for this VM.
         """
         newest = self.exchange.newest_config()
         if newest is None or newest[1] <= self._config_version():
@@ -270,15 +270,15 @@
             self._state.journal.write("bad_message", sender=sender, type=name)
 
     def on_notice(self, sender: str, message: Any) -> None:
-        """Take a peer's notice."""
+        """Handle a peer's notice."""
         now = self._state.now()
         if isinstance(message, Gossip):
             version = self._state.fleet.version
             self.exchange.on_gossip(sender, message, now)
             if self.exchange.has_news():
-                self._news.set()
+                self._wake_event.set()
             if self._state.fleet.version != version:
-                self._note_live()
+                self._on_live_change()
         elif isinstance(message, EngineStatuses):
             self._state.fleet.on_statuses(sender, message.statuses, now)
         elif isinstance(message, EngineLoads):
@@ -288,15 +288,15 @@
         elif isinstance(message, PLACE_NOTICES):
             owner = self._engines.owner_by_engine.get(message.engine_id)
             if owner is not None:
-                _tell_owner(owner, sender, message)
+                _notify_owner(owner, sender, message)
 
 
-def _some(vm_ids: set[str]) -> list[str]:
-    """Return the first names of many, for one log line."""
-    return sorted(vm_ids)[:NAMED_IN_LOG]
+def _first_ids(vm_ids: set[str]) -> list[str]:
+    """Return the first ids in order, for a log line."""
+    return sorted(vm_ids)[:MAX_IDS_IN_LOG]
 
 
-def _tell_owner(owner: EngineOwner, sender: str, message: PlaceNotice) -> None:
+def _notify_owner(owner: EngineOwner, sender: str, message: PlaceNotice) -> None:
     if isinstance(message, PlaceCancel):
         owner.cancel(message.ask_id)
     elif isinstance(message, PlaceRelease):
--- a/bamboovale/gateway/place_search.py
+++ b/bamboovale/gateway/place_search.py
@@ -1,4 +1,4 @@
-"""Finds a place at an engine for a request: chooses, asks the owner, asks elsewhere."""
+"""Finds a place for a request: chooses engines and requests places of their owners."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,28 +13,29 @@
 from bamboovale.gateway.model import EndpointRecord, ModelWork
 from bamboovale.gateway.stream_progress import Progress
 
-MOST_FULL = 3
-"""Engines that refuse a request at once before its caller is refused. Many VMs choose
-by the same words, and an engine that has just come up gets more than it can place."""
-AT_ONCE_S = 0.1
-"""A refusal that comes later has used up the caller's patience."""
-RUN_LEAST_S = 0.4
-"""A run that starts with less time left ends after its caller: reading the prompt and
-a few tokens take about this."""
-GAP_LEAST_S = 2.0
-GAP_GOALS = 4.0
-GAP_PAUSES = 8.0
-"""Callers abandon a stream after the longest of these: seconds, times the goal, times
-the longest good pause between events (the platform's pages)."""
+MAX_FULL_ENGINES = 3
+"""Immediate refusals by engines before the caller is refused. Many VMs choose by the
+same status, so that an engine that has just started may get more than it can place."""
+IMMEDIATE_REFUSAL_S = 0.1
+"""A refusal after a longer time ends the search."""
+MIN_RUN_S = 0.4
+"""Time reserved for the prompt and the first tokens: a run that starts with less time
+left would end after its caller's deadline."""
+MIN_PATIENCE_S = 2.0
+PATIENCE_GOALS = 4.0
+PATIENCE_PAUSES = 8.0
+"""Callers abandon a stream after the longest of these: seconds, multiples of the
+route's goal and multiples of its longest acceptable pause between events."""
 NO_ENGINE_RETRY_S = 0.5
-"""An engine whose owner died gets another within about two seconds, most sooner."""
-OWNER_WAIT_S = 0.35
-OWNER_LOOK_S = 0.04
-"""A VM hears of an engine's new owner within an interval of statuses, 0.3 s."""
+"""Retry delay while engines have no owner: a new one is assigned within seconds."""
+OWNER_TIMEOUT_S = 0.35
+OWNER_POLL_INTERVAL_S = 0.04
+"""How long a request waits for an engine's owner to become known, and how often it
+checks: status is published at a similar interval."""
 
 
 class EngineFull(Exception):  # noqa: N818 - reads as what happened
-    """An engine's owner sees no place in time; ``retry_after_s`` tells when to ask."""
+    """An engine has no place in time; ``retry_after_s`` is when to retry."""
 
     def __init__(self, reason: str, retry_after_s: float) -> None:
         super().__init__(reason)
@@ -42,7 +43,7 @@
 
 
 class PlaceSearch:
-    """Searches the engines of a pool for one request at a time."""
+    """Searches the engines of a pool for a place."""
 
     def __init__(
         self,
@@ -66,30 +67,34 @@
         work: ModelWork,
         progress: Progress,
     ) -> tuple[EndpointRecord, GrantedPlace | None]:
-        """Return an engine that holds the adapter; None as place: without its owner."""
+        """Return an engine and the place that its owner granted.
+
+        The place is None if the request must be sent to the engine without an owner.
+        Raises CallRefused, CallFailed or StreamCut if no engine is found.
+        """
         version = self._version_of(work.model, work.adapter)
-        silent: set[str] = set()
+        unavailable: set[str] = set()
         full: dict[str, EngineFull] = {}
         while True:
             records = self._endpoints.ready(call.service)
             views = self._engines.views(records)
-            passed_over = silent | full.keys()
-            chosen = self._choose(call, work, views, passed_over, progress)
-            if full and (chosen is None or len(full) == MOST_FULL):
+            skipped = unavailable | full.keys()
+            chosen = self._choose(call, work, views, skipped, progress)
+            if full and (chosen is None or len(full) == MAX_FULL_ENGINES):
                 raise _no_place(progress, full)
-            unowned = chosen is None or self._is_unheard(views[chosen])
-            if unowned and self._owner_may_come(call):
-                await asyncio.sleep(OWNER_LOOK_S)
-                silent.clear()
+            unowned = chosen is None or self._lacks_status(views[chosen])
+            if unowned and self._may_wait_for_owner(call):
+                await asyncio.sleep(OWNER_POLL_INTERVAL_S)
+                unavailable.clear()
                 continue
             if chosen is None:
-                return self._without_owner(call, work, views, version, progress)
+                return self._choose_without_owner(call, work, views, version, progress)
             record = self._endpoints.record_by_id[chosen]
             if views[chosen].owner is None:
                 return record, None
             try:
                 view = views[chosen]
-                place = await self._ask(call, work, view, version, progress)
+                place = await self._request_place(call, work, view, version, progress)
                 return record, place
             except EngineFull as error:
                 full[chosen] = error
@@ -97,17 +102,17 @@
                 call.notes.setdefault("silent_owners", []).append(
                     {"engine": chosen, "error": str(error)}
                 )
-                silent.add(chosen)
+                unavailable.add(chosen)
 
     def _choose(
         self,
         call: Call,
         work: ModelWork,
         views: dict[str, EngineView],
-        passed_over: set[str],
+        skipped: set[str],
         progress: Progress,
     ) -> str | None:
-        """Choose an engine; one that failed this request only if no other is left."""
+        """Choose an engine; one where this request failed only if there is no other."""
         chooser = self._chooser_by_service.setdefault(
             call.service, EngineChooser(self._mechanisms)
         )
@@ -115,31 +120,29 @@
         key = None if work.adapter is None else (work.model, work.adapter)
         version = self._version_of(work.model, work.adapter)
         tokens = work.prompt_tokens
-        excluded = progress.excluded | passed_over
+        excluded = progress.excluded | skipped
         chosen = chooser.choose(key, version, views, excluded, tokens)
         if chosen is None:
-            chosen = chooser.choose(key, version, views, passed_over, tokens)
+            chosen = chooser.choose(key, version, views, skipped, tokens)
         return chosen
 
-    def _is_unheard(self, view: EngineView) -> bool:
-        """Tell whether an engine's owner is still to be heard of for the first time.
+    def _lacks_status(self, view: EngineView) -> bool:
+        """Return whether no status of an engine was received yet.
 
-        Guards against the crowd that comes back to VMs that have just started: sent
-        straight to engines that hold its adapters, past their owners, its prompts are
-        neither counted nor paced; and all VMs would choose by what endpoints last
-        registered, the same few engines each.
+        Guards against overloading a few engines after a start of all VMs: chosen by
+        endpoint records alone, all VMs would pick the same ones and bypass the pacing
+        of prompts by their owners.
         """
         return not view.is_told
 
-    def _owner_may_come(self, call: Call) -> bool:
-        """Tell whether it is too early to say that no engine has an owner.
+    def _may_wait_for_owner(self, call: Call) -> bool:
+        """Return whether the request may still wait for an engine's owner to be known.
 
-        Guards against refusing everything for a fraction of a second whenever VMs
-        start or engines change hands: owners are known within a few hundred ms.
+        Guards against refusing requests while VMs start or engines change owners.
         """
-        return self._now() - call.request.received_at < OWNER_WAIT_S
+        return self._now() - call.request.received_at < OWNER_TIMEOUT_S
 
-    def _without_owner(
+    def _choose_without_owner(
         self,
         call: Call,
         work: ModelWork,
@@ -147,7 +150,7 @@
         version: int,
         progress: Progress,
     ) -> tuple[EndpointRecord, GrantedPlace | None]:
-        """Go straight to an engine that held the adapter when last heard of."""
+        """Return an engine whose last status contains the adapter, without a place."""
         key = None if work.adapter is None else (work.model, work.adapter)
         holders = [
             name
@@ -162,7 +165,7 @@
         chosen = min(holders, key=lambda name: views[name].run_cost_s())
         return self._endpoints.record_by_id[chosen], None
 
-    async def _ask(
+    async def _request_place(
         self,
         call: Call,
         work: ModelWork,
@@ -197,7 +200,7 @@
         if reply.version is None:
             note["refused"] = reply.reason
             full = EngineFull(reply.reason, reply.retry_after_s)
-            if note["s"] <= AT_ONCE_S:
+            if note["s"] <= IMMEDIATE_REFUSAL_S:
                 raise full
             raise _no_place(progress, {engine_id: full})
         note["version"] = reply.version
@@ -215,21 +218,23 @@
         return place
 
     def _starts_within_s(self, call: Call, progress: Progress, now: float) -> float:
-        """Return how long the caller will wait for a place.
+        """Return how long the request may be queued for a place, in seconds.
 
-        Callers give a stream up after a long gap, also before its first event: what
-        cannot start by then is refused at once instead of being held to no end.
+        Callers abandon a stream after a long gap, also before its first event. Guards
+        against queueing requests that would start after that.
         """
         left_s = call.left_s(now)
         route = call.route
         gap_s = route.gap_s or 0.0
-        patience_s = max(GAP_LEAST_S, GAP_GOALS * route.goal_s, GAP_PAUSES * gap_s)
-        begun_at = now if progress.started else call.request.received_at
-        waits_s = min(left_s, begun_at + patience_s - now)
-        return max(0.0, waits_s - min(RUN_LEAST_S, waits_s / 2))
+        patience_s = max(
+            MIN_PATIENCE_S, PATIENCE_GOALS * route.goal_s, PATIENCE_PAUSES * gap_s
+        )
+        wait_started_at = now if progress.started else call.request.received_at
+        waits_s = min(left_s, wait_started_at + patience_s - now)
+        return max(0.0, waits_s - min(MIN_RUN_S, waits_s / 2))
 
 
 def _no_place(progress: Progress, full: dict[str, EngineFull]) -> Exception:
-    """Return the refusal; its caller comes back when the first has a place."""
+    """Return the refusal; the caller should retry when the first engine has a place."""
     first = min(full.values(), key=lambda refusal: refusal.retry_after_s)
     return progress.final_error(f"no place: {first}", first.retry_after_s)
--- a/bamboovale/gateway/plain_calls.py
+++ b/bamboovale/gateway/plain_calls.py
@@ -1,4 +1,4 @@
-"""Calls of plain services: choose an endpoint, repeat what may be repeated."""
+"""Calls of plain services: chooses endpoints and retries safe calls."""
 
 import asyncio
 import random
@@ -11,20 +11,20 @@
 from bamboovale.gateway.endpoints import EndpointView
 from bamboovale.gateway.model import AnswerFacts, CallKind, EndpointRecord
 
-REFUSED_RETRY_S = 0.2
-"""When to come back if no endpoint takes a call: a few service times."""
-FIRST_TRY_SHARE = 0.45
-"""Of the time left, after which a safe call is tried elsewhere: an endpoint that hangs
-must leave time for the other one."""
-FIRST_TRY_LEAST_S = 0.15
-"""Below this a usual answer, of some 50 ms with its queue, would be taken for none."""
-MOST_TRIES = 3
-"""Endpoints tried for one call, refusals included; services have three and more."""
+REFUSAL_RETRY_S = 0.2
+"""Retry delay for callers if no endpoint accepts a call."""
+ATTEMPT_TIME_SHARE = 0.45
+"""Share of the time left after which a safe call is retried elsewhere; guards against
+an endpoint that hangs until the caller's deadline."""
+MIN_ATTEMPT_TIMEOUT_S = 0.15
+"""Lower bound of that timeout, above usual answer times."""
+MAX_ATTEMPTS = 3
+"""Endpoints tried for one call, refusals included."""
 SERVER_ERROR = 500
 
 
 class PlainCalls:
-    """Carries calls to the endpoints of plain services."""
+    """Runs calls at the endpoints of plain services."""
 
     def __init__(
         self,
@@ -42,8 +42,8 @@
         self._now = now
         self._rng = rng
         self._router_by_service: dict[str, ServiceRouter] = {}
-        self._listed_by_service: dict[str, frozenset[str]] = {}
-        self._numbers = 0
+        self._endpoints_by_service: dict[str, frozenset[str]] = {}
+        self._last_call_number = 0
 
     async def run(self, call: Call) -> None:
         """Answer the call; raises CallRefused or CallFailed."""
@@ -53,7 +53,7 @@
         runs = 0
         answered: tuple[AnswerFacts, bytes] | None = None
         failure: Exception | None = None
-        for number in range(MOST_TRIES):
+        for number in range(MAX_ATTEMPTS):
             record = self._choose(call.service, excluded)
             if record is None or (number and not share.take(self._now())):
                 break
@@ -84,8 +84,8 @@
         if isinstance(failure, MayHaveRun):
             raise CallFailed(str(failure))
         if isinstance(failure, NotRun):
-            raise CallRefused(str(failure), failure.retry_after_s or REFUSED_RETRY_S)
-        raise CallRefused("no endpoint takes calls", REFUSED_RETRY_S)
+            raise CallRefused(str(failure), failure.retry_after_s or REFUSAL_RETRY_S)
+        raise CallRefused("no endpoint takes calls", REFUSAL_RETRY_S)
 
     async def _try_once(
         self,
@@ -94,14 +94,14 @@
         number: int,
     ) -> tuple[AnswerFacts, bytes]:
         router = self._router_by_service[call.service]
-        self._numbers += 1
-        call_id = str(self._numbers)
+        self._last_call_number += 1
+        call_id = str(self._last_call_number)
         started_at = self._now()
         note = call.note_attempt(endpoint=record.endpoint_id)
         router.on_start(record.endpoint_id, call_id, started_at)
         ok = error_answer = False
         try:
-            async with asyncio.timeout(self._patience_s(call, number)):
+            async with asyncio.timeout(self._attempt_timeout_s(call, number)):
                 answer = await self._exchange(call, record)
             note["status"] = answer[0].status
             ok = True
@@ -126,13 +126,13 @@
                 error=error_answer,
             )
 
-    def _patience_s(self, call: Call, number: int) -> float | None:
-        """Return how long to wait for one endpoint; None: as long as the caller."""
+    def _attempt_timeout_s(self, call: Call, number: int) -> float | None:
+        """Return the timeout of one attempt; None: only the call's deadline applies."""
         repeatable = call.route.kind is CallKind.SAFE and call.route.max_attempts > 1
         if not repeatable or number + 1 >= call.route.max_attempts:
             return None
         left_s = call.left_s(self._now())
-        return max(FIRST_TRY_LEAST_S, FIRST_TRY_SHARE * left_s)
+        return max(MIN_ATTEMPT_TIMEOUT_S, ATTEMPT_TIME_SHARE * left_s)
 
     async def _exchange(
         self,
@@ -161,8 +161,8 @@
         listed = frozenset(
             record.endpoint_id for record in self._endpoints.ready(service)
         )
-        if listed != self._listed_by_service.get(service):
-            self._listed_by_service[service] = listed
+        if listed != self._endpoints_by_service.get(service):
+            self._endpoints_by_service[service] = listed
             router.set_endpoints(listed)
         now = self._now()
         router.on_tick(now)
--- a/bamboovale/gateway/ports.py
+++ b/bamboovale/gateway/ports.py
@@ -1,4 +1,4 @@
-"""The ports beside the callers': directory, readiness, counters and state dump."""
+"""The ports beside that for callers: directory, readiness, metrics and state dump."""
 
 import json
 from collections.abc import Callable
@@ -10,11 +10,11 @@
 from bamboovale.metrics import Metrics
 
 DIRECTORY_TTL_S = 1.0
-"""A VM that stops or dies is not chosen for longer than this and a status."""
+"""How long clients may cache the addresses, and thus use a VM that stopped."""
 
 
 class Ports:
-    """Answers who asks where to connect, whether we are ready, and how we are."""
+    """HTTP servers for the address directory, readiness checks and monitoring."""
 
     def __init__(
         self,
@@ -31,22 +31,22 @@
         self._metrics_port = metrics_port
         self._directory = Server(self._answer_directory)
         self._readiness = Server(self._answer_readiness)
-        self._watch = Server(self._answer_watch)
+        self._monitoring = Server(self._answer_monitoring)
 
     async def listen(self) -> None:
-        """Bind all of them; raises OSError."""
+        """Bind all ports; raises OSError."""
         node = self._state.node
         await self._directory.listen(*node.directory)
         await self._readiness.listen(*node.readiness)
-        await self._watch.listen(node.ip, self._metrics_port)
+        await self._monitoring.listen(node.ip, self._metrics_port)
 
     def close(self) -> None:
-        """Close all of them at once."""
-        for server in (self._directory, self._readiness, self._watch):
+        """Close all ports at once."""
+        for server in (self._directory, self._readiness, self._monitoring):
             server.close()
 
     def addresses_for(self, failure_domain: str) -> list[tuple[str, int]]:
-        """Return the addresses of serving VMs, near ones only if there are enough."""
+        """Return addresses of serving VMs, of the given domain only if it has two."""
         near: list[tuple[str, int]] = []
         others: list[tuple[str, int]] = []
         for domain, members in self._state.fleet.advertised_by_domain().items():
@@ -71,8 +71,8 @@
         else:
             responder.answer(200 if self._state.serving() else 503, [], b"")
 
-    async def _answer_watch(self, request: Request, responder: Responder) -> None:
-        """Serve counters and, on request, the state of this process."""
+    async def _answer_monitoring(self, request: Request, responder: Responder) -> None:
+        """Serve metrics and the state dump of this process."""
         if request.target.startswith("/state"):
             kind, body = b"application/json", json.dumps(self._dump(), default=str)
             responder.answer(200, [(b"content-type", kind)], body.encode())
--- a/bamboovale/gateway/records.py
+++ b/bamboovale/gateway/records.py
@@ -1,4 +1,4 @@
-"""What the operator and the endpoints wrote, from the store or from other VMs."""
+"""Records of the operator and the endpoints, from the store or from other VMs."""
 
 import random
 from collections.abc import Callable
@@ -10,34 +10,34 @@
 from bamboovale.gateway.translation import Translation
 from bamboovale.gateway.vm_state import VMState
 
-CONFIG_WAIT_S = 20.0
-"""How long a read of the operator's topic waits for a change: one call, no delay."""
+CONFIG_LONG_POLL_S = 20.0
+"""How long a read of the operator's topic waits for a change."""
 CONFIG_PAUSE_S = 0.02
-"""Between two reads of the operator's topic, when changes come in quick series."""
-ENDPOINTS_WAIT_S = 1.0
-"""How long a read of the endpoints' topic waits for a change: less than a heartbeat, so
-that silence tells of a store that does not answer."""
+"""Pause between two reads of the operator's topic."""
+ENDPOINTS_LONG_POLL_S = 1.0
+"""How long a read of the endpoints' topic waits for a change: less than a heartbeat
+interval, so that a read without an answer shows an unreachable store."""
 ENDPOINTS_PAUSE_S = 0.6
-"""Between reads of the endpoints' topic, which changes with every heartbeat. A leaving
-endpoint must get no new work two seconds after it said so."""
-ALL_READ_UP_TO = 12
-"""VMs up to which each reads for itself: news takes no step then."""
+"""Pause between reads of the endpoints' topic, which changes with every heartbeat. A
+leaving endpoint must get no new work two seconds after its record says so."""
+MAX_ALL_READERS = 12
+"""Fleet size up to which every VM reads the endpoints' topic."""
 READERS = 4
-"""VMs that read the endpoints' topic in a larger fleet: every read is a priced call,
-and the topic changes with each heartbeat."""
-NEWS_STALE_S = 4.0
-"""Without progress for so long a VM reads for itself. Progress goes from neighbour to
-neighbour with the signs of life: some five steps in the largest fleet."""
-RETRY_LARGE_S = 2.0
-"""Between tries of one VM in a larger fleet while the store fails: those who reach it
-pass on what they read."""
+"""VMs that read the endpoints' topic in a larger fleet, as every read is a priced
+call."""
+STALE_AFTER_S = 4.0
+"""Time without progress after which a VM reads for itself. Progress spreads by gossip,
+which takes several steps in a large fleet."""
+LARGE_FLEET_RETRY_S = 2.0
+"""Delay between retries of one VM in a larger fleet while the store fails: VMs that
+reach it pass on what they read."""
 
 
 class Records:
     """Keeps the configuration, versions and endpoints of one VM up to date.
 
-    ``on_answer`` is called with each answer of the store to a read, and told whether
-    the store is settled: see ``StoreWatch``.
+    ``on_answer`` is called after each answer of the store to a read, with whether the
+    store is settled (see ``StoreWatch``).
     """
 
     def __init__(
@@ -59,7 +59,7 @@
             store,
             state.journal,
             on_record=self._on_operator_record,
-            wait_s=CONFIG_WAIT_S,
+            wait_s=CONFIG_LONG_POLL_S,
             pause_s=lambda: CONFIG_PAUSE_S,
             retry_s=lambda: self._retry_s(),
             on_answer=lambda: on_answer(False),
@@ -71,7 +71,7 @@
             state.journal,
             on_record=self._on_endpoint_record,
             known_keys=state.endpoints.registered_ids,
-            wait_s=ENDPOINTS_WAIT_S,
+            wait_s=ENDPOINTS_LONG_POLL_S,
             pause_s=lambda: ENDPOINTS_PAUSE_S,
             retry_s=lambda: self._retry_s(),
             on_changed=on_changed,
@@ -86,7 +86,7 @@
         return (self.operator, self.endpoints)
 
     def apply_table(self, table: RoutingTable, origin: str) -> None:
-        """Bring a configuration into force, unless it is older than ours."""
+        """Apply a configuration, unless it is not newer than the current one."""
         before = self._state.table.version if self._state.table else None
         if before is not None and table.version <= before:
             return
@@ -111,9 +111,9 @@
         elif isinstance(change, RoutingTable):
             self.apply_table(change, origin="store")
         else:
-            self._take_version(change.model, change.adapter, change.version)
+            self._apply_version(change.model, change.adapter, change.version)
 
-    def _take_version(self, model: str, adapter: str | None, version: int) -> None:
+    def _apply_version(self, model: str, adapter: str | None, version: int) -> None:
         key = (model, adapter)
         before = self._state.version_by_adapter.get(key, 1)
         if version <= before:
@@ -135,18 +135,22 @@
         return self._state.endpoints.on_record(record.key, decoded)
 
     def _is_reader(self) -> bool:
-        """Tell whether this VM reads the endpoints' topic for others too."""
+        """Return whether this VM reads the endpoints' topic, also for other VMs."""
         fleet = self._state.fleet
         if not self._state.knows_fleet:
             return False
-        if fleet.expected_size() <= ALL_READ_UP_TO:
+        if fleet.expected_size() <= MAX_ALL_READERS:
             return True
         return self._state.node.name in fleet.designated("readers", READERS)
 
-    def _may_read_endpoints(self, news_age_s: float) -> bool:
-        """Tell whether this VM reads the endpoints' topic itself now."""
-        return news_age_s > NEWS_STALE_S or self._is_reader()
+    def _may_read_endpoints(self, progress_age_s: float) -> bool:
+        """Return whether this VM should read the endpoints' topic now."""
+        return progress_age_s > STALE_AFTER_S or self._is_reader()
 
     def _retry_s(self) -> float:
-        """Return the time to the next try while the store fails."""
-        return RETRY_S if self._is_reader() else RETRY_LARGE_S * random.uniform(0.7, 1)
+        """Return the delay before the next retry while the store fails."""
+        return (
+            RETRY_S
+            if self._is_reader()
+            else LARGE_FLEET_RETRY_S * random.uniform(0.7, 1)
+        )
--- a/bamboovale/gateway/registration.py
+++ b/bamboovale/gateway/registration.py
@@ -1,4 +1,4 @@
-"""Where the other entry VMs are: addresses in the store, by VM."""
+"""Registration of VM addresses in the metadata store, by which VMs find each other."""
 
 import asyncio
 import json
@@ -9,17 +9,16 @@
 from bamboovale.gateway.store import KeyedRecord, MetadataStore, StoreError
 from bamboovale.gateway.vm_state import VMState
 
-ALONE_S = 1.0
-"""Between reads while nobody is heard, or after a failure."""
-LOOK_S = 5.0
-"""Between reads of all VMs of a small fleet: newcomers tell us themselves, this finds
-those that could not reach us. In a larger one the VMs read so often together: whom one
-finds, all hear of."""
+ALONE_READ_INTERVAL_S = 1.0
+"""Interval of reads while no other VM is known, or after a failure."""
+READ_INTERVAL_S = 5.0
+"""Interval of reads in a small fleet, to find VMs that could not announce themselves.
+In a larger fleet each VM reads less often, as gossip spreads what one of them finds."""
 SMALL_FLEET = 12
 
 
 class Registration:
-    """Writes our address into the store until it is there; reads the others'."""
+    """Writes this VM's address to the store and reads those of the others."""
 
     def __init__(
         self,
@@ -37,7 +36,7 @@
         self._is_written = False
 
     async def keep(self) -> None:
-        """Write and read for ever."""
+        """Write the own address once and read the others for ever."""
         while True:
             try:
                 await self._write()
@@ -46,7 +45,7 @@
             except StoreError as error:
                 self._state.journal.write("registration_failed", error=str(error))
                 self._state.knows_fleet = True
-                await asyncio.sleep(ALONE_S)
+                await asyncio.sleep(ALONE_READ_INTERVAL_S)
                 continue
             await asyncio.sleep(self._pause_s())
 
@@ -59,14 +58,14 @@
         self._is_written = True
 
     async def _read(self) -> None:
-        """Take all addresses; VMs that were not known are greeted at once."""
+        """Read all addresses; calls ``on_contact`` if there are new VMs."""
         snapshot = await self._store.newest(self._topic)
-        is_new = [self._take(record) for record in snapshot.records]
+        is_new = [self._apply(record) for record in snapshot.records]
         if any(is_new):
             self._on_contact()
 
-    def _take(self, record: KeyedRecord) -> bool:
-        """Take another VM's address; one bad record leaves the others in force."""
+    def _apply(self, record: KeyedRecord) -> bool:
+        """Apply a record; returns whether it names a new VM. Bad records are logged."""
         if record.value is None or self._stall_records.apply(record):
             return False
         try:
@@ -81,5 +80,5 @@
     def _pause_s(self) -> float:
         size = self._state.fleet.expected_size()
         if size == 1:
-            return ALONE_S
-        return LOOK_S * max(1.0, size / SMALL_FLEET) * random.uniform(0.8, 1.2)
+            return ALONE_READ_INTERVAL_S
+        return READ_INTERVAL_S * max(1.0, size / SMALL_FLEET) * random.uniform(0.8, 1.2)
--- a/bamboovale/gateway/settings_watch.py
+++ b/bamboovale/gateway/settings_watch.py
@@ -1,4 +1,4 @@
-"""Follows the settings file of the process, which may change while it runs."""
+"""Reloads the settings file when it changes while the process runs."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,17 +10,16 @@
 from bamboovale.errors import Finding
 from bamboovale.gateway.vm_state import VMState
 
-LOOK_S = 2.0
-"""Between two looks at the file: it may change without a signal, and the bounds in it
-are met in some seconds. One look reads some 2 KB."""
+POLL_INTERVAL_S = 2.0
+"""Interval of reads of the file, which may change without a signal."""
 FIXED = ("name", "ip", "callers", "readiness", "directory", "peers_port")
-"""Settings that last a process's life: peers and callers know it by them."""
+"""Settings that cannot change while the process runs: others know it by them."""
 
 ReadSettings = Callable[[], Result[Any, list[Finding]]]
 
 
 class SettingsWatch:
-    """Brings changed settings into force; keeps the last good ones.
+    """Applies changed settings; keeps the last valid ones if the file is invalid.
 
     ``on_change`` is called with the settings before and after.
     """
@@ -38,13 +37,13 @@
         self._ignored_logged: list[str] = []
 
     async def watch(self) -> None:
-        """Look at the file for ever."""
+        """Poll the file for ever."""
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             self.poll()
 
     def poll(self) -> None:
-        """Read the file; take what has changed, or log what is wrong with it."""
+        """Read the file; apply what has changed, or log what is wrong with it."""
         result = self._read()
         if isinstance(result, Err):
             self._log_findings(result.err_value)
--- a/bamboovale/gateway/stall_records.py
+++ b/bamboovale/gateway/stall_records.py
@@ -1,9 +1,8 @@
-"""What the VMs have learned of a pool of engines, kept in the store over restarts.
+"""Records in the metadata store of which pools of engines are stalled.
 
-Guards against learning anew after all VMs have gone at once: until enough streams have
-paused too long, prompts are not paced, and that shows as a second crowd of late streams
-right after the restart. One VM writes when what the fleet believes has changed; every
-VM reads the notes with the addresses of the others, at no further call.
+Guards against a second series of stream stalls after a restart of all VMs, until they
+have detected again that prompts must be paced. One VM writes a record when the state of
+its pool changes; every VM reads the records together with the addresses of the others.
 """
 
 import json
@@ -15,43 +14,47 @@
 from bamboovale.gateway.store import KeyedRecord, MetadataStore, StoreError
 
 KEY_PREFIX = "pool:"
-"""Apart from the names of VMs, which are keys of the same topic."""
-WRITE_PAUSE_S = 5.0
-"""Between two writes on one pool: each is a priced call."""
-
-
-QUIET_S = 20.0
-"""A pool is noted as no longer held up after so long without it: a VM that has just
-started has not heard of every engine yet."""
+"""Distinguishes these records from those of VMs in the same topic."""
+MIN_WRITE_INTERVAL_S = 5.0
+"""Least time between two writes for a pool, as each is a priced call."""
+CLEAR_AFTER_S = 20.0
+"""How long a pool must be without stalls before its record is cleared: a VM that has
+just started has not received every engine's status yet."""
 
 
 @dataclass
 class StallRecord:
-    """What is known of one pool; ``quiet_since`` is when it was last held up."""
+    """Recorded state of one pool.
+
+    ``clear_since`` is since when no stall was observed, None while there is one.
+    """
 
     stalled: bool = False
-    quiet_since: float | None = None
+    clear_since: float | None = None
     written_at: float | None = None
 
     def evaluate(self, stalled: bool, now: float) -> bool:
-        """Take what is seen now; return whether the note changes by it."""
+        """Apply an observation; return whether it changes the record."""
         if stalled:
-            self.quiet_since = None
+            self.clear_since = None
             changed = not self.stalled
         else:
-            self.quiet_since = now if self.quiet_since is None else self.quiet_since
-            changed = self.stalled and now - self.quiet_since > QUIET_S
+            self.clear_since = now if self.clear_since is None else self.clear_since
+            changed = self.stalled and now - self.clear_since > CLEAR_AFTER_S
         if changed:
             self.stalled = stalled
         return changed
 
     def may_write(self, now: float) -> bool:
-        """Tell whether the last write is long enough ago."""
-        return self.written_at is None or now - self.written_at > WRITE_PAUSE_S
+        """Return whether the last write is long enough ago."""
+        return self.written_at is None or now - self.written_at > MIN_WRITE_INTERVAL_S
 
 
 class StallRecords:
-    """The notes by service; ``on_read`` is called with each that was read anew."""
+    """Stall records by service.
+
+    ``on_read`` is called with the service of each record that is read first.
+    """
 
     def __init__(
         self,
@@ -69,12 +72,12 @@
         self._record_by_service: dict[str, StallRecord] = {}
 
     def is_stalled(self, service: str) -> bool:
-        """Tell whether reading held up the pool's streams when last noted."""
-        stored = self._record_by_service.get(service)
-        return stored is not None and stored.stalled
+        """Return whether the pool is recorded as stalled."""
+        known = self._record_by_service.get(service)
+        return known is not None and known.stalled
 
     def apply(self, record: KeyedRecord) -> bool:
-        """Take a record; False if it is no note on a pool."""
+        """Apply a record; returns False if it is not a stall record."""
         if not record.key.startswith(KEY_PREFIX):
             return False
         service = record.key.removeprefix(KEY_PREFIX)
@@ -96,13 +99,13 @@
         owner_ids: set[str],
         now: float,
     ) -> None:
-        """Write what has changed, if we are the owner of engines that does."""
+        """Write changed records, if this VM is the owner designated to write them."""
         for service, stalled in stalled_by_service.items():
-            stored = self._record_by_service.setdefault(service, StallRecord())
-            if not stored.may_write(now) or not stored.evaluate(stalled, now):
+            known = self._record_by_service.setdefault(service, StallRecord())
+            if not known.may_write(now) or not known.evaluate(stalled, now):
                 continue
             if self._own_id in first_members(service, owner_ids, 1):
-                stored.written_at = now
+                known.written_at = now
                 await self._write(service, stalled)
 
     async def _write(self, service: str, stalled: bool) -> None:
--- a/bamboovale/gateway/state_dump.py
+++ b/bamboovale/gateway/state_dump.py
@@ -1,4 +1,4 @@
-"""What one entry VM believes, as JSON for operators."""
+"""State of one entry VM as JSON for operators."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 def dump_fleet(state: VMState, exchange: Exchange) -> dict[str, Any]:
-    """Return who we are, who lives, whom we watch and how old that is, in seconds."""
+    """Return this VM's identity, the live VMs and its neighbours; ages in seconds."""
     now = state.now()
     membership = state.fleet.membership
     peers = dict.fromkeys(membership.not_live(), False)
@@ -45,7 +45,7 @@
 
 
 def dump_reads(followers: Iterable[TopicFollower]) -> dict[str, Any]:
-    """Return by topic how far it is read, and how old its open read is, in seconds."""
+    """Return by topic the offset reached and the age of the open read, in seconds."""
     return {
         follower.topic: {
             "offset": follower.changes.next_offset,
@@ -62,7 +62,7 @@
 
 
 def dump_engines(state: VMState, engines: Engines) -> dict[str, Any]:
-    """Return the endpoints, who owns which engine, and what of ours is going on."""
+    """Return the endpoints, the engines' owners and the status of owned engines."""
     record_by_id = state.endpoints.record_by_id
     return {
         "endpoints": {
--- a/bamboovale/gateway/store.py
+++ b/bamboovale/gateway/store.py
@@ -1,11 +1,11 @@
-"""What the routed interface needs of a metadata store, and what it answers."""
+"""Interface of the metadata store that the routed interface uses."""
 
 from dataclasses import dataclass
 from typing import Protocol
 
 
 class StoreError(Exception):
-    """The call failed; ``status`` is None when no answer came."""
+    """The call failed; ``status`` is None if there was no answer."""
 
     def __init__(self, message: str, status: int | None = None) -> None:
         super().__init__(message)
@@ -13,16 +13,16 @@
 
 
 class NoAnswerError(StoreError):
-    """No answer came in the time that the call had, or was waited for no longer."""
+    """The call timed out or was cancelled without an answer."""
 
 
 class HistoryLostError(StoreError):
-    """The records asked for are no longer kept: read the newest ones instead."""
+    """The requested records are no longer stored; read the newest ones instead."""
 
 
 @dataclass(frozen=True)
 class KeyedRecord:
-    """The newest record of a key; ``value`` None means that the key was dropped."""
+    """The newest record of a key; ``value`` is None if the key was deleted."""
 
     key: str
     value: bytes | None
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Snapshot:
-    """The newest record of each key; later records begin at ``end``."""
+    """The newest record of each key; later records start at offset ``end``."""
 
     records: tuple[KeyedRecord, ...]
     end: int
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class Membership:
-    """What a group member holds; ``generation`` rises with each change."""
+    """The partitions of a group member; ``generation`` rises with each change."""
 
     generation: int
     partitions: tuple[Partition, ...]
--- a/bamboovale/gateway/store_watch.py
+++ b/bamboovale/gateway/store_watch.py
@@ -1,84 +1,83 @@
-"""Whether a record that is missing in the metadata store means a missing endpoint."""
+"""Outage detection for the metadata store, to tell expired from removed records."""
 
 import math
 from collections.abc import Callable
 
-RETURN_S = 2.5
-"""Records that lapsed in an outage are back within two seconds of its end."""
-SILENT_S = 2.0
-"""Without an answer of the store to any VM for so long it counts as away, and so long a
-VM's word holds that the store is settled. Several VMs read it twice a second, and the
-news of an answer takes some steps."""
+RENEWAL_S = 2.5
+"""Time after an outage in which endpoints renew records that expired in it."""
+SILENCE_S = 2.0
+"""Time without an answer of the store to any VM after which it counts as unreachable,
+and time for which a VM's report that the store is settled is valid."""
 
 
 class StoreWatch:
-    """Tells an outage of the store from a cut between it and this VM alone.
+    """Distinguishes an outage of the store from a cut between it and this VM.
 
-    The store is settled once it has answered VMs for ``RETURN_S`` without a silence,
-    and without a failed read of ours. A VM whose own reads have gone well for so long
-    also gives its word, which counts where ours fail: endpoints reach the store as that
-    VM does. A failure counts until the next word.
+    The store is settled once it has answered VMs for ``RENEWAL_S`` without a silence or
+    a failed read of this VM. A VM whose own reads succeeded for that time also reports
+    the store as settled to the others, which is valid there until the next failed read:
+    endpoints can reach the store as that VM can.
     """
 
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
         self._answered_since = -math.inf
         self._answered_at = -math.inf
-        self._read_since: float | None = None
+        self._reads_ok_since: float | None = None
         self._failed_at = -math.inf
         self._failed_since_answer = False
         self._settled_at = -math.inf
         self._on_settled: list[Callable[[], None]] = []
 
     def listen(self, on_settled: Callable[[], None]) -> None:
-        """Call this with each word that the store is settled."""
+        """Call a listener with each report that the store is settled."""
         self._on_settled.append(on_settled)
 
     def on_answer(self) -> None:
-        """Note that the store has answered a VM, perhaps us.
+        """Record that the store answered a VM, maybe this one.
 
-        The first answer that we hear of ends no silence: a VM that has just started
-        knows only endpoints whose records are there.
+        The first answer does not count as the end of an outage: a VM that has just
+        started knows only endpoints whose records exist.
         """
         now = self._now()
-        was_silent = SILENT_S < now - self._answered_at < math.inf
+        was_silent = SILENCE_S < now - self._answered_at < math.inf
         if was_silent or self._failed_since_answer:
             self._answered_since = now
         self._answered_at = now
         self._failed_since_answer = False
 
     def on_read(self) -> bool:
-        """Note that a read of ours was answered; tell whether we give our word."""
+        """Record an answered read; return whether to report the store as settled."""
         now = self._now()
-        if self._read_since is None:
-            self._read_since = now
-        return now - self._read_since >= RETURN_S
+        if self._reads_ok_since is None:
+            self._reads_ok_since = now
+        return now - self._reads_ok_since >= RENEWAL_S
 
     def on_read_failed(self) -> None:
-        """Note that a read of ours failed."""
-        self._read_since = None
+        """Record that a read of this VM failed."""
+        self._reads_ok_since = None
         self._failed_at = self._now()
         self._failed_since_answer = True
 
     def on_settled(self) -> None:
-        """Take the word of a VM, perhaps ours, that the store is settled."""
+        """Apply the report of a VM, maybe this one, that the store is settled."""
         self._settled_at = self._now()
         for listener in self._on_settled:
             listener()
 
     def is_settled(self) -> bool:
-        """Tell whether an endpoint is gone whose record is."""
+        """Return whether a missing record means that its endpoint is gone."""
         now = self._now()
-        if self._settled_at > self._failed_at and now - self._settled_at <= SILENT_S:
+        if self._settled_at > self._failed_at and now - self._settled_at <= SILENCE_S:
             return True
-        if now - self._answered_at > SILENT_S or self._failed_since_answer:
+        if now - self._answered_at > SILENCE_S or self._failed_since_answer:
             return False
-        return now - self._answered_since >= RETURN_S
+        return now - self._answered_since >= RENEWAL_S
 
     def settled_s_ago(self) -> float:
-        """Return the age of the last word that the store is settled, in seconds."""
+        """Return the age of the last report that the store is settled, in seconds."""
         return self._now() - self._settled_at
 
     def read_failed_s_ago(self) -> float:
-        """Return how long ago a read of ours failed, in seconds."""
+        """Return the seconds since a read of this VM failed."""
         return self._now() - self._failed_at
--- a/bamboovale/gateway/stream_progress.py
+++ b/bamboovale/gateway/stream_progress.py
@@ -1,21 +1,25 @@
-"""How far a request for a model has come, and what may still be said of it."""
+"""Progress of a request for a model over all its attempts."""
 
 from dataclasses import dataclass, field
 
 from bamboovale.gateway.call import CallFailed, CallRefused
 from bamboovale.gateway.events import EventBuffer, Pauses
 
-REFUSED_RETRY_S = 0.3
-"""About a load, after which another engine may have the adapter."""
+REFUSAL_RETRY_S = 0.3
+"""Retry delay, about the load time of an adapter."""
 
 
 class StreamCut(Exception):  # noqa: N818 - reads as what happened
-    """The engine's stream ended before its end."""
+    """The stream was cut after the caller received a part of it."""
 
 
 @dataclass
 class Progress:
-    """What a caller has of its stream so far."""
+    """Progress of a stream towards its caller.
+
+    ``runs`` are attempts that may have run, ``arrivals`` those that reached an engine;
+    ``stalled`` is true after a pause longer than the route allows.
+    """
 
     events: EventBuffer
     pauses: Pauses = field(default_factory=Pauses)
@@ -28,9 +32,9 @@
     def final_error(
         self,
         reason: str,
-        retry_after_s: float = REFUSED_RETRY_S,
+        retry_after_s: float = REFUSAL_RETRY_S,
     ) -> Exception:
-        """Return how the request ends: refused only if no engine ever ran it."""
+        """Return the error that ends the request: CallRefused only if it never ran."""
         if self.started:
             return StreamCut(reason)
         if self.runs:
--- a/bamboovale/gateway/translation.py
+++ b/bamboovale/gateway/translation.py
@@ -1,4 +1,4 @@
-"""What the routed interface needs of the platform around it, as one interface."""
+"""Interface of the platform that the routed interface depends on."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -27,7 +27,7 @@
 
 
 class Translation(CallCodec, EngineCodec, Protocol):
-    """Names, formats and calls of the platform; decides nothing."""
+    """Names, formats and calls of the platform."""
 
     node: Any
     operator_topic: str
@@ -46,13 +46,13 @@
         key: str,
         value: bytes,
     ) -> RoutingTable | VersionChange | str | None:
-        """Read what the operator wrote; a text says what is wrong with it."""
+        """Decode an operator record; a string is an error, None an unused record."""
 
     def decode_table(self, source: bytes) -> RoutingTable | str:
-        """Read a configuration."""
+        """Decode a configuration; a string is an error."""
 
     def decode_endpoint_record(self, key: str, value: bytes) -> EndpointRecord | str:
-        """Read an endpoint's record."""
+        """Decode an endpoint's record; a string is an error."""
 
     def directory_answer(
         self,
@@ -60,7 +60,7 @@
         addresses_for: Callable[[str], list[tuple[str, int]]],
         ttl_s: float,
     ) -> bytes | None:
-        """Return the body for a question where to connect; None: no answer."""
+        """Return the body of an answer to a directory query; None: no answer."""
 
     def is_readiness_query(self, target: str) -> bool:
-        """Tell whether a call asks for readiness."""
+        """Return whether a request target is that of the readiness check."""
--- a/bamboovale/gateway/vm.py
+++ b/bamboovale/gateway/vm.py
@@ -1,4 +1,4 @@
-"""An entry VM on the routed interface: joins its tasks, from start to planned stop."""
+"""An entry VM on the routed interface: builds its parts and runs them until stopped."""
 
 import asyncio
 import contextlib
@@ -36,24 +36,23 @@
 from bamboovale.metrics import Metrics
 from bamboovale.peers.links import PeerLinks
 
-LISTEN_ON_S = 3.2
-"""New requests are still served this long after SIGTERM: callers keep an address for a
-few seconds."""
+LISTEN_AFTER_STOP_S = 3.2
+"""How long new requests are served after SIGTERM, as callers cache addresses."""
 STOP_MARGIN_S = 0.7
-"""Before the platform kills the process."""
+"""Time left for the exit before the platform kills the process."""
 HOLD_OFF_S = 0.25
-"""Beside the time in which news reaches every VM: by then each has told an engine's new
-owner which runs are under way there."""
-FLEET_WAIT_S = 0.5
-"""Addresses are one answer of the store away; longer means that it does not answer."""
-FLEET_LOOK_S = 0.01
-LINKS_CLOSE_S = 0.2
-"""A peer that does not answer the end of its link is not waited for longer: closing is
-the last step before the process ends, and nothing depends on it."""
+"""How long a new owner evicts nothing, beside the time in which gossip reaches every
+VM: by then all VMs have notified it of their runs in flight."""
+FLEET_TIMEOUT_S = 0.5
+"""How long a starting VM waits for the addresses of the others before it may own
+engines."""
+FLEET_POLL_INTERVAL_S = 0.01
+LINKS_CLOSE_TIMEOUT_S = 0.2
+"""Bounds the exit of the process when a peer does not answer the end of its link."""
 
 
 class GatewayVM:
-    """One entry VM; ``run`` returns when it has been told to stop and has drained."""
+    """One entry VM; ``run`` returns once it was stopped and has drained."""
 
     def __init__(
         self,
@@ -81,9 +80,9 @@
         self._build_parts()
         self.ports = Ports(self.state, translation, metrics, self.dump, metrics_port)
         self._callers = Server(
-            self._front.handle,
+            self._request_handler.handle,
             self._caller_limits,
-            self._front.on_bad_request,
+            self._request_handler.on_bad_request,
         )
         self.state.endpoints.listen(self._on_endpoint)
 
@@ -156,7 +155,7 @@
             self.state.now,
             lambda suspect: self.peering.broadcast_suspect(suspect),
         )
-        self._front = self._build_front()
+        self._request_handler = self._build_request_handler()
         self._stall_records = StallRecords(
             self.state.node.name,
             self._translation.registration_topic,
@@ -207,7 +206,7 @@
             self.peering.announce,
         )
 
-    def _build_front(self) -> RequestHandler:
+    def _build_request_handler(self) -> RequestHandler:
         client = EndpointClient(self._endpoint_pool, self._translation)
         return RequestHandler(
             codec=self._translation,
@@ -235,10 +234,10 @@
             rng=self._rng,
         )
 
-    # Life.
+    # Lifecycle.
 
     async def run(self) -> None:
-        """Serve until told to stop."""
+        """Serve until stopped; raises OSError if a port cannot be bound."""
         node = self.state.node
         await self._listen()
         self.state.journal.write(
@@ -249,7 +248,7 @@
             callers_port=node.callers[1],
             peers_port=node.peers_port,
         )
-        for job in self._jobs():
+        for job in self._background_tasks():
             self._spawn(job)
         await self._stop_event.wait()
         await self._drain()
@@ -259,7 +258,7 @@
         self.state.journal.write("stopped")
 
     async def close(self) -> None:
-        """End every task and close every socket at once."""
+        """Cancel all tasks and close all sockets at once."""
         for task in list(self._tasks):
             task.cancel()
         for owner in self._engines.owner_by_engine.values():
@@ -269,7 +268,7 @@
         for pool in (self._endpoint_pool, self._control_pool, self._store_pool):
             pool.close()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(LINKS_CLOSE_S):
+            async with asyncio.timeout(LINKS_CLOSE_TIMEOUT_S):
                 await self.links.close()
 
     async def _listen(self) -> None:
@@ -277,7 +276,7 @@
         await self.ports.listen()
         await self._callers.listen(*self.state.node.callers)
 
-    def _jobs(self) -> list[Coroutine[Any, Any, None]]:
+    def _background_tasks(self) -> list[Coroutine[Any, Any, None]]:
         return [
             self.records.operator.follow(),
             self.records.endpoints.follow(),
@@ -297,7 +296,7 @@
         ]
 
     def stop(self) -> None:
-        """Begin the planned stop."""
+        """Start the planned stop."""
         self._stop_event.set()
 
     async def poll_engines(self) -> None:
@@ -306,13 +305,13 @@
             await owner.poll()
 
     def reload(self) -> None:
-        """Look at the settings file now."""
+        """Poll the settings file now."""
         version = self.state.table.version if self.state.table is not None else None
         self.state.journal.write("reload", config=version)
         self.settings_watch.poll()
 
     def _on_settings(self, before: Any, after: Any) -> None:
-        """Use changed settings; what is under way keeps what it began with."""
+        """Apply changed settings; requests in flight keep the previous ones."""
         self._translation.node = after
         if after.store != before.store:
             self._store_pool.close()
@@ -320,17 +319,17 @@
             self.state.set_retry_bounds()
 
     async def _drain(self) -> None:
-        """Stop without cutting anything off: unlisted first, then nothing new."""
+        """Release engines, serve while callers cache this address, then drain."""
         self.state.stopping = True
-        began = self.state.now()
+        started_at = self.state.now()
         self.state.journal.write("stopping", busy=self._callers.busy)
         self.peering.announce()
         with contextlib.suppress(StoreError, TimeoutError):
             async with asyncio.timeout(1.0):
                 await self._ownership.leave()
         self.peering.assign_engines()
-        last = began + self.state.node.bounds.grace_s - STOP_MARGIN_S
-        while self.state.now() < began + LISTEN_ON_S:
+        last = started_at + self.state.node.bounds.grace_s - STOP_MARGIN_S
+        while self.state.now() < started_at + LISTEN_AFTER_STOP_S:
             await asyncio.sleep(0.1)
         self.state.draining = True
         self._callers.close_idle()
@@ -338,7 +337,7 @@
             await asyncio.sleep(0.05)
             if not self._callers.busy and not self._callers.connections:
                 break
-            if self.state.now() > began + LISTEN_ON_S + 1.0:
+            if self.state.now() > started_at + LISTEN_AFTER_STOP_S + 1.0:
                 self._callers.close_idle()
         self._callers.stop_listening()
         self.state.journal.write("drained", cut_off=self._callers.busy)
@@ -349,7 +348,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _guard(self, job: Coroutine[Any, Any, None]) -> None:
-        """Log what ends a task; the process goes on with the others."""
+        """Log an exception that ends a task; the other tasks go on."""
         try:
             await job
         except asyncio.CancelledError:
@@ -367,14 +366,14 @@
         self.peering.assign_engines()
 
     async def _own_engines(self) -> None:
-        """Take part in owning engines, once it is known who else does.
+        """Take part in ownership of engines, once the other VMs are known.
 
-        Guards against a fleet that starts: each of hundreds of VMs would join the
-        owners, and every one that leaves again moves all engines.
+        Guards against all VMs of a large fleet joining the owners at a start: engines
+        are reassigned with each VM that leaves again.
         """
-        deadline = self.state.now() + FLEET_WAIT_S
+        deadline = self.state.now() + FLEET_TIMEOUT_S
         while not self.state.knows_fleet and self.state.now() < deadline:
-            await asyncio.sleep(FLEET_LOOK_S)
+            await asyncio.sleep(FLEET_POLL_INTERVAL_S)
         await self._ownership.renew_forever()
 
     def _on_table(self) -> None:
--- a/bamboovale/gateway/vm_state.py
+++ b/bamboovale/gateway/vm_state.py
@@ -1,4 +1,4 @@
-"""What the parts of one entry VM on the routed interface share."""
+"""State shared by the parts of one entry VM on the routed interface."""
 
 import os
 import time
@@ -13,12 +13,12 @@
 
 
 class VMState:
-    """What one VM believes and how far its life is; parts read it, few write it.
+    """Shared state of one VM.
 
-    ``node`` are the settings of the process. ``table`` is the configuration in force,
-    None before the first. ``knows_fleet`` is true once the addresses of the others were
-    read: until then a VM of hundreds would do what only a few of them should.
-    ``isolated`` is true while most other VMs do not hear us.
+    ``node`` are the settings of the process. ``table`` is the current configuration,
+    None before the first. ``knows_fleet`` is true after the first read of the other
+    VMs' addresses, even if it failed; until then duties designated to a few VMs are not
+    performed. ``isolated`` is true while this VM is cut off from most others.
     """
 
     def __init__(self, node: Any, journal: Journal) -> None:
@@ -37,24 +37,24 @@
         self.endpoints = EndpointView(journal, self.store_watch)
 
     def now(self) -> float:
-        """Return the event loop's time, in seconds."""
+        """Return the monotonic time in seconds, as the event loop does."""
         return time.monotonic()
 
     def takes_work(self) -> bool:
-        """Tell whether new work may begin here."""
+        """Return whether new requests are accepted."""
         return not self.draining
 
     def serving(self) -> bool:
-        """Tell whether callers may be sent here."""
+        """Return whether this VM may be advertised to callers."""
         known = self.table is not None and bool(self.endpoints.record_by_id)
         return known and not self.stopping and not self.isolated
 
     def version_of(self, model: str, adapter: str | None) -> int:
-        """Return the newest version that the operator named."""
+        """Return the newest version that the operator published."""
         return self.version_by_adapter.get((model, adapter), 1)
 
     def model_engines(self) -> list[EndpointRecord]:
-        """Return the model engines that take new work."""
+        """Return the model engines that accept new work."""
         if self.table is None:
             return []
         pools = {
@@ -69,7 +69,7 @@
         ]
 
     def share_of(self, service: str) -> RetryShare:
-        """Return our share of a service's retry budget."""
+        """Return this VM's share of a service's retry budget."""
         share = self.share_by_service.get(service)
         if share is None:
             share = RetryShare.from_config(self._retry_bounds())
@@ -78,7 +78,7 @@
         return share
 
     def set_retry_bounds(self) -> None:
-        """Let every service's share go by the settings as they are now."""
+        """Apply the current settings to every service's retry share."""
         for share in self.share_by_service.values():
             share.set_config(self._retry_bounds())
 
--- a/bamboovale/routed_vm.py
+++ b/bamboovale/routed_vm.py
@@ -1,9 +1,7 @@
 """The process of an entry VM on the routed interface: options, signals, exit code.
 
-``python -m bamboovale.routed_vm`` is ``bamboovale gateway`` with the options of the
-environment alone. It imports neither the command line nor its library: a VM that was
-killed serves again when its imports are done, and after a restart of a whole fleet all
-VMs import at once.
+``python -m bamboovale.routed_vm`` is ``bamboovale gateway`` with options from
+environment variables only. It does not import the command line, to start faster.
 """
 
 import asyncio
@@ -30,14 +28,14 @@
 METRICS_PORT = "BAMBOOVALE_METRICS_PORT"
 WITHOUT = "BAMBOOVALE_WITHOUT"
 DEFAULT_METRICS_PORT = 9464
-MOST_PORT = 65535
+MAX_PORT = 65535
 
 
 @dataclass(frozen=True)
 class ProcessOptions:
-    """What the process is started with, checked.
+    """The validated options of the process.
 
-    ``node_file`` is read again when it changes; ``metrics_port`` 0 takes a free one.
+    ``node_file`` is read again when it changes; ``metrics_port`` 0 is any free port.
     """
 
     node: NodeSettings
@@ -51,7 +49,7 @@
         cls,
         environ: Mapping[str, str],
     ) -> "Result[ProcessOptions, list[Finding]]":
-        """Read the options from variables alone; returns every finding."""
+        """Read the options from environment variables; returns all findings."""
         port = environ.get(METRICS_PORT, str(DEFAULT_METRICS_PORT))
         return cls.from_values(
             node_file=environ.get(NODE_FILE, ""),
@@ -69,10 +67,10 @@
         metrics_port: int,
         without: str,
     ) -> "Result[ProcessOptions, list[Finding]]":
-        """Check the options; ``without`` names mechanisms, with commas between."""
+        """Validate the options; ``without`` is a comma-separated list of mechanisms."""
         names = [name.strip() for name in without.split(",") if name.strip()]
         findings = _unknown_mechanisms(names)
-        if not 0 <= metrics_port <= MOST_PORT:
+        if not 0 <= metrics_port <= MAX_PORT:
             findings.append(Finding("metrics-port", "a port is expected, 0 to 65535"))
         node = _read_node_file(node_file)
         if isinstance(node, Err):
@@ -131,7 +129,7 @@
 
 
 def main() -> ExitStatus:
-    """Run an entry VM with the options that the environment holds."""
+    """Run an entry VM with the options in environment variables."""
     options = ProcessOptions.from_environment(os.environ)
     if isinstance(options, Err):
         for finding in options.err_value:
--- a/tests/test_gateway_stall_records.py
+++ b/tests/test_gateway_stall_records.py
@@ -6,7 +6,7 @@
 
 from bamboovale.decisions.pause_evidence import PauseEvidence
 from bamboovale.gateway.journal import Journal
-from bamboovale.gateway.stall_records import KEY_PREFIX, QUIET_S, StallRecords
+from bamboovale.gateway.stall_records import CLEAR_AFTER_S, KEY_PREFIX, StallRecords
 from bamboovale.gateway.store import KeyedRecord, StoreError
 from tests.gateway_site import eventually, run, running_site
 
@@ -62,9 +62,9 @@
             assert noted == ["llm"] and kept.is_stalled("llm")
             await kept.write_changes({"llm": False}, {"me"}, 0.0)
             await kept.write_changes({"llm": True}, {"me"}, 3.0)
-            await kept.write_changes({"llm": False}, {"me"}, QUIET_S - 1.0)
+            await kept.write_changes({"llm": False}, {"me"}, CLEAR_AFTER_S - 1.0)
             assert store.puts == []
-            await kept.write_changes({"llm": False}, {"me"}, 2 * QUIET_S)
+            await kept.write_changes({"llm": False}, {"me"}, 2 * CLEAR_AFTER_S)
             assert store.puts == [("pool:llm", b'{"held_up": false}')]
 
         run(test())
--- a/tests/test_gateway_store_watch.py
+++ b/tests/test_gateway_store_watch.py
@@ -4,7 +4,7 @@
 
 from bamboovale.gateway.endpoints import EndpointView
 from bamboovale.gateway.model import EndpointRecord
-from bamboovale.gateway.store_watch import RETURN_S, SILENT_S, StoreWatch
+from bamboovale.gateway.store_watch import RENEWAL_S, SILENCE_S, StoreWatch
 from tests.gateway_site import RecordedJournal
 
 RECORD = EndpointRecord("e", "app", ("10.0.0.1", 1), "a", True, 8)
@@ -62,7 +62,7 @@
         vm.read()
         vm.view.on_record("e", None)
         assert vm.knows_the_endpoint()
-        assert not vm.read_for(RETURN_S - 0.5)
+        assert not vm.read_for(RENEWAL_S - 0.5)
         assert not vm.store.is_settled()
         assert vm.read_for(0.5)
 
@@ -85,7 +85,7 @@
         """Guards against an outage that a VM without reads of its own can't see."""
         vm = Watcher()
         vm.store.on_settled()
-        vm.now += SILENT_S + 0.1
+        vm.now += SILENCE_S + 0.1
         vm.view.on_record("e", None)
         assert vm.knows_the_endpoint()
 
@@ -94,9 +94,9 @@
         vm = Watcher()
         vm.hear_for(5.0)
         assert vm.store.is_settled()
-        vm.now += SILENT_S + 0.1
+        vm.now += SILENCE_S + 0.1
         vm.view.on_record("e", None)
-        vm.hear_for(RETURN_S - 0.5)
+        vm.hear_for(RENEWAL_S - 0.5)
         assert not vm.store.is_settled()
         vm.hear_for(0.5)
         assert vm.store.is_settled()
@@ -115,7 +115,7 @@
         vm.store.on_read_failed()
         assert not vm.store.is_settled()
         vm.now += 1.5
-        vm.hear_for(RETURN_S - 0.5)
+        vm.hear_for(RENEWAL_S - 0.5)
         assert not vm.store.is_settled()
         vm.hear_for(0.5)
         assert vm.store.is_settled()
