--- a/tests/gateway_site.py
+++ b/tests/gateway_site.py
@@ -1,4 +1,4 @@
-"""A small deployment on the routed interface: stand-ins and entry VMs on one loop."""
+"""A small deployment for tests: platform stand-ins and entry VMs on one event loop."""
 
 import asyncio
 from collections.abc import AsyncIterator, Coroutine
@@ -29,7 +29,7 @@
 )
 from bench.soak_proxy import Proxy
 
-PATIENCE_S = 10.0
+DEFAULT_TIMEOUT_S = 10.0
 
 __all__ = [
     "HOST",
@@ -46,14 +46,14 @@
 
 
 class RecordedJournal(Journal):
-    """Keeps lines for tests instead of writing them."""
+    """Collects lines for tests instead of writing them."""
 
     def __init__(self, vm_id: str) -> None:
         super().__init__(vm_id)
         self.lines: list[dict[str, Any]] = []
 
     def write(self, event: str, **fields: Any) -> None:
-        """Keep one line."""
+        """Collect one line."""
         self.lines.append({"event": event, **fields})
 
     def of(self, event: str) -> list[dict[str, Any]]:
@@ -63,7 +63,7 @@
 
 @dataclass
 class RunningVM:
-    """An entry VM with its task."""
+    """An entry VM with its settings, journal and task."""
 
     vm: GatewayVM
     node: NodeSettings
@@ -72,7 +72,7 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Return where callers connect."""
+        """Return the address for callers."""
         return self.node.callers
 
 
@@ -80,7 +80,7 @@
 class Site:
     """Store, endpoints and entry VMs of one test.
 
-    ``store_proxy`` stands between the store and VMs that were told its address.
+    ``store_proxy`` is between the store and the VMs that use its address.
     """
 
     store: PlatformStore
@@ -93,7 +93,7 @@
     async def add_vm(
         self, name: str, store: tuple[str, int] | None = None, **bounds: Any
     ) -> RunningVM:
-        """Start one more entry VM; ``store`` is where it finds the store."""
+        """Start another entry VM; ``store`` is the store's address for it."""
         document = node_document(store or self.store_address, name, **bounds)
         node = NodeSettings.from_document(document).unwrap()
         journal = RecordedJournal(name)
@@ -111,21 +111,21 @@
         return running
 
     async def add_runner(self, name: str, **options: Any) -> PlatformRunner:
-        """Start one more engine."""
+        """Start another engine."""
         runner = PlatformRunner(self.store, name, "llm", model=MODEL, **options)
         await runner.start()
         self.runners.append(runner)
         return runner
 
     async def add_service(self, name: str) -> PlatformEndpoint:
-        """Start one more plain endpoint."""
+        """Start another plain endpoint."""
         service = PlatformEndpoint(self.store, name, "app")
         await service.start()
         self.services.append(service)
         return service
 
     async def ready(self) -> None:
-        """Wait until every VM serves and every engine has an owner that knows it."""
+        """Wait until every VM serves and agrees on the owner of every engine."""
         await eventually(lambda: all(item.vm.state.serving() for item in self.vms))
         endpoints = len(self.runners) + len(self.services)
         await eventually(
@@ -136,7 +136,7 @@
         await eventually(self._agrees_on_owners)
 
     def _agrees_on_owners(self) -> bool:
-        """Tell whether every VM is linked to all others and knows each owner."""
+        """Return whether every VM knows all others and the owner of each engine."""
         dumps = [item.vm.dump() for item in self.vms]
         linked = all(len(dump["peers"]) == len(self.vms) - 1 for dump in dumps)
         generations = {dump["generation"] for dump in dumps}
@@ -151,7 +151,7 @@
         return linked and len(generations) == 1 and known and owned
 
     def owned(self) -> dict[str, RunningVM]:
-        """Return the owner of each engine that has been looked at."""
+        """Return the owner of each engine whose first report was read."""
         return {
             status.engine_id: item
             for item in self.vms
@@ -172,7 +172,7 @@
 ) -> AsyncIterator[Site]:
     """Run a small deployment that is ready to serve.
 
-    With ``behind_proxy`` its VMs reach the store through ``store_proxy`` alone.
+    With ``behind_proxy`` its VMs reach the store only through ``store_proxy``.
     """
     store = PlatformStore()
     site = Site(store, await store.listen("127.0.0.1"))
@@ -203,20 +203,22 @@
 
 
 async def proxy_of_store(site: Site) -> Proxy:
-    """Start a proxy before the store, for faults of some ways to it."""
+    """Start a proxy to the store, for faults of some connections to it."""
     proxy = Proxy(site.store_address)
     await proxy.start()
     return proxy
 
 
-async def eventually(condition: Any, timeout_s: float = PATIENCE_S) -> None:
-    """Wait until a condition holds; fails after the timeout."""
+async def eventually(condition: Any, timeout_s: float = DEFAULT_TIMEOUT_S) -> None:
+    """Wait until a condition holds; fail after the timeout."""
     deadline = asyncio.get_running_loop().time() + timeout_s
     while not condition():
-        assert asyncio.get_running_loop().time() < deadline, "it never came true"
+        assert asyncio.get_running_loop().time() < deadline, (
+            "timed out"
+        )
         await asyncio.sleep(0.02)
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
-    """Run the body of a test on a loop of its own."""
+    """Run the body of a test on an event loop of its own."""
     asyncio.run(asyncio.wait_for(test, 60.0))
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The whole path on the routed interface, against stand-ins of the users' platform."""
+"""End-to-end tests of the routed interface, with stand-ins for the platform."""
 
 import asyncio
 import json
@@ -31,7 +31,7 @@
 class TestPlainCalls:
     """Calls of plain services."""
 
-    def test_the_answer_is_the_endpoints_own(self) -> None:
+    def test_the_endpoints_answer_is_forwarded(self) -> None:
         async def test() -> None:
             async with running_site() as site:
                 attempt = request_id()
@@ -46,12 +46,8 @@
 
         run(test())
 
-    def test_headers_that_are_ours_to_set_do_not_pass(self) -> None:
-        """A caller sends headers that only the system may set.
-
-        Passed on, a made-up hold or KV source makes the endpoint refuse the request,
-        and a made-up instance sends it astray. The cause is trust in callers' headers.
-        """
+    def test_reserved_headers_of_callers_are_dropped(self) -> None:
+        """Guards against callers who set headers that only the system may set."""
 
         async def test() -> None:
             async with running_site() as site:
@@ -76,11 +72,7 @@
         run(test())
 
     def test_a_safe_call_that_hangs_is_answered_by_another_endpoint(self) -> None:
-        """One endpoint takes calls and never answers them.
-
-        A caller would wait until its deadline. The call is safe, so it is sent to
-        another endpoint while there is time; the cause is a process that hangs.
-        """
+        """Guards against waiting for a hanging endpoint until the caller's deadline."""
 
         async def test() -> None:
             async with running_site(services=2) as site:
@@ -96,12 +88,8 @@
 
         run(test())
 
-    def test_an_unsafe_call_without_answer_is_not_sent_again(self) -> None:
-        """An endpoint runs a booking and answers with bytes that are no HTTP.
-
-        Sent again, a family would be charged twice. The caller gets a status that
-        promises nothing; the cause is an answer lost after the run.
-        """
+    def test_an_unsafe_call_without_answer_is_not_retried(self) -> None:
+        """Guards against running an unsafe call twice after its answer was lost."""
 
         async def test() -> None:
             async with running_site(services=2) as site:
@@ -114,11 +102,7 @@
         run(test())
 
     def test_a_second_answer_never_reaches_the_next_caller(self) -> None:
-        """An endpoint answers a request twice; the next one shares its connection.
-
-        The next caller would get the stray answer. The cause is an endpoint that sends
-        bytes nobody asked for, right behind a whole answer.
-        """
+        """Guards against a stale answer on a reused connection."""
 
         async def test() -> None:
             async with running_site() as site:
@@ -130,7 +114,7 @@
 
         run(test())
 
-    def test_a_refusal_says_when_to_come_back(self) -> None:
+    def test_a_refusal_has_a_retry_after(self) -> None:
         async def test() -> None:
             async with running_site() as site:
                 site.services[0].faults.refuse = True
@@ -141,32 +125,24 @@
 
         run(test())
 
-    def test_the_route_ends_a_call_that_takes_too_long(self) -> None:
-        """An endpoint hangs; the route allows 300 ms, the caller would wait 3 s.
-
-        The operator's bound must hold: the caller gets a final answer at it, and the
-        endpoint's connection is closed so that it stops working.
-        """
+    def test_the_routes_timeout_ends_a_call(self) -> None:
+        """Guards against calls, and runs, that outlast the route's timeout."""
 
         async def test() -> None:
             short = route("short", "app", "unsafe", **{"timeout-ms": 300})
             config = configuration(extra=(short,))
             async with running_site(config=config) as site:
                 site.services[0].faults.hang = True
-                began = asyncio.get_running_loop().time()
+                started_at = asyncio.get_running_loop().time()
                 answer = await call(site.vms[0].address, "/short/1")
                 assert answer.status == 504
-                assert asyncio.get_running_loop().time() - began < 0.6
+                assert asyncio.get_running_loop().time() - started_at < 0.6
                 await eventually(lambda: site.services[0].runs[0].ended == "cancelled")
 
         run(test())
 
-    def test_a_caller_who_leaves_ends_the_run(self) -> None:
-        """A caller closes its connection while the endpoint works.
-
-        The endpoint would work for nobody, for seconds on a busy day. The cause: only
-        the entry VM sees that the caller is gone.
-        """
+    def test_a_disconnected_caller_cancels_the_run(self) -> None:
+        """Guards against runs whose answer is no longer needed."""
 
         async def test() -> None:
             async with running_site() as site:
@@ -182,8 +158,8 @@
         run(test())
 
 
-def _all_know_start(site: Site, runner: PlatformRunner) -> bool:
-    """Tell whether every VM knows this start of an engine and who owns it."""
+def _start_is_known(site: Site, runner: PlatformRunner) -> bool:
+    """Return whether every VM knows this start of an engine and its owner."""
     engine_id = f"{runner.endpoint_id}@{runner.born_ms}"
     dumps = [item.vm.dump() for item in site.vms]
     known = all(dump["owner_by_engine"].get(engine_id) for dump in dumps)
@@ -205,11 +181,7 @@
         run(test())
 
     def test_more_adapters_than_slots_never_overfill_the_engine(self) -> None:
-        """Callers ask for eight adapters at once, the engine has two slots.
-
-        Ordered past its slots an engine crashes with all its streams. The cause would
-        be loads counted only when a report shows them.
-        """
+        """Guards against loads beyond an engine's slots, which would crash it."""
 
         async def test() -> None:
             async with running_site(vms=2) as site:
@@ -227,12 +199,8 @@
 
         run(test())
 
-    def test_an_order_without_answer_is_given_again_with_the_same_number(self) -> None:
-        """An engine carries out a load and its answer is lost.
-
-        Counted as failed, its slot would be given away and the engine overfilled;
-        waited for, the caller would wait for seconds. The cause is a lost answer.
-        """
+    def test_an_order_without_answer_is_retried_with_the_same_number(self) -> None:
+        """Guards against an overfilled engine after the answer to an order was lost."""
 
         async def test() -> None:
             async with running_site() as site:
@@ -246,12 +214,8 @@
 
         run(test())
 
-    def test_a_new_version_serves_everyone_soon(self) -> None:
-        """The operator names a new version of an adapter that is loaded and in use.
-
-        Requests would go on getting the old behaviour. The version must be replaced
-        within seconds, although the engine holds the old one.
-        """
+    def test_a_new_version_is_served_soon(self) -> None:
+        """Guards against serving the old version of an adapter that is in use."""
 
         async def test() -> None:
             async with running_site() as site:
@@ -267,11 +231,7 @@
         run(test())
 
     def test_a_broken_stream_never_looks_complete(self) -> None:
-        """An engine breaks off in the middle of an event of a stream.
-
-        Ended properly, the summary would look whole without its last lines. The
-        caller's connection is cut instead, after the last whole event.
-        """
+        """Guards against ending a truncated stream regularly or within an event."""
 
         async def test() -> None:
             async with running_site() as site:
@@ -282,12 +242,8 @@
 
         run(test())
 
-    def test_a_resumable_stream_goes_on_at_another_engine(self) -> None:
-        """An engine breaks off a stream that may be resumed.
-
-        The caller gets the rest from another engine, each event once and under the
-        first head; the cause is a crash in the middle of an event.
-        """
+    def test_a_resumable_stream_is_continued_by_another_engine(self) -> None:
+        """Guards against lost or repeated events when an engine cuts a stream."""
 
         async def test() -> None:
             async with running_site(runners=2) as site:
@@ -311,11 +267,8 @@
 
         run(test())
 
-    def test_an_engine_that_lost_its_model_gets_it_again(self) -> None:
-        """An engine restarts empty at another incarnation.
-
-        Without an order it would stay empty and idle while the others are full.
-        """
+    def test_a_lost_model_is_loaded_again(self) -> None:
+        """Guards against an engine that stays empty after a restart."""
 
         async def test() -> None:
             async with running_site() as site:
@@ -326,13 +279,8 @@
 
         run(test())
 
-    def test_an_engine_that_comes_back_under_its_id_is_taken_for_empty(self) -> None:
-        """An engine crashes and is back under its id within a moment, with nothing.
-
-        Its owner still believes the adapters of before: requests are sent and refused
-        until the retry budget is used up, and orders name a number that the new
-        process never reached.
-        """
+    def test_a_restarted_engine_with_the_same_id_counts_as_empty(self) -> None:
+        """Guards against state of an earlier start: its adapters and order count."""
 
         async def test() -> None:
             async with running_site(vms=2, config=configuration()) as site:
@@ -343,7 +291,7 @@
                         assert (answer.status, answer.whole) == (200, True)
                     refused = runner.refused
                     await runner.start_again(born_ms)
-                    await eventually(lambda: _all_know_start(site, runner))
+                    await eventually(lambda: _start_is_known(site, runner))
                 for vm in site.vms:
                     answer = await call(vm.address, "/chat/1", adapter="a1")
                     assert (answer.status, answer.whole) == (200, True)
@@ -351,31 +299,23 @@
 
         run(test())
 
-    def test_an_engine_tells_of_its_new_start_before_its_record_does(self) -> None:
-        """An engine comes back under its id; its record is written seconds later.
-
-        Its reports tell. Without that word its owner orders by the number of the old
-        process and waits for adapters that nobody loads.
-        """
+    def test_a_restart_is_detected_by_a_report_before_the_record(self) -> None:
+        """Guards against stale state of an engine whose record is written late."""
 
         async def test() -> None:
             async with running_site() as site:
                 runner = site.runners[0]
                 await call(site.vms[0].address, "/chat/1", adapter="a1")
                 await runner.start_again(1000, registers=False)
-                await eventually(lambda: _all_know_start(site, runner))
+                await eventually(lambda: _start_is_known(site, runner))
                 answer = await call(site.vms[0].address, "/chat/1", adapter="a1")
                 assert (answer.status, answer.whole) == (200, True)
                 assert runner.refused == 0
 
         run(test())
 
-    def test_a_full_engine_sends_requests_to_the_others(self) -> None:
-        """An engine comes up empty, and all VMs send their requests there at once.
-
-        More came than it could place in time, and those were refused while other
-        engines had room: each VM knows only what it has sent there itself.
-        """
+    def test_requests_refused_by_a_full_engine_go_to_others(self) -> None:
+        """Guards against refusing requests while other engines have free places."""
 
         async def test() -> None:
             async with running_site(runners=2) as site:
@@ -389,7 +329,7 @@
 
         run(test())
 
-    def test_where_all_are_full_the_first_that_has_room_says_when(self) -> None:
+    def test_if_all_are_full_the_least_retry_after_is_returned(self) -> None:
         async def test() -> None:
             async with running_site(runners=2) as site:
                 _fill(site, "runner-0", retry_after_s=9.0)
@@ -401,11 +341,9 @@
         run(test())
 
     def test_without_an_owner_no_old_version_runs(self) -> None:
-        """A parent gets a summary from the adapter that was replaced seconds ago.
+        """Guards against the old version when the owner dies during a load.
 
-        The owner of an engine has told that the new version is coming, and dies before
-        the engine has it. Another VM goes straight to that engine, which still holds
-        the old version. Found by the soak, seed 2.
+        Its last status announced the new version, which the engine never loaded.
         """
 
         async def test() -> None:
@@ -421,7 +359,7 @@
                     f"version/{MODEL}.a1",
                     {"model": MODEL, "adapter": "a1", "version": 2},
                 )
-                asking = asyncio.ensure_future(
+                pending = asyncio.ensure_future(
                     call(owner.address, "/chat/1", adapter="a1", deadline_ms=900)
                 )
                 await eventually(lambda: _coming(other) == {(MODEL, "a1"): 2})
@@ -429,7 +367,7 @@
                 owner.task.cancel()
                 await owner.vm.close()
                 site.vms.remove(owner)
-                await asking
+                await pending
                 runner._loading.clear()
                 await asyncio.sleep(1.3)
                 answer = await call(
@@ -443,28 +381,28 @@
 
 
 def _fill(site: Site, engine_id: str, retry_after_s: float) -> list[PlaceRequest]:
-    """Let an engine's owner refuse every place at once; return what it is asked."""
-    asked: list[PlaceRequest] = []
+    """Make an engine's owner refuse all requests at once; return the list of them."""
+    requests: list[PlaceRequest] = []
 
     def refuse(vm_id: str, request: PlaceRequest, reply: Reply) -> None:
-        asked.append(request)
+        requests.append(request)
         answer = PlaceReply(request.ask_id, reason="late", retry_after_s=retry_after_s)
         reply(answer)
 
     owner = site.vms[0].vm._engines.owner_by_engine[engine_id]
     owner.request_place = refuse  # type: ignore[method-assign]
-    return asked
+    return requests
 
 
 def _coming(vm: RunningVM) -> dict:
-    """Return the adapters that the VM believes to be on their way to the engine."""
+    """Return the adapters that the VM expects to be loading at the engine."""
     owned = vm.vm.state.fleet.engine("runner-0")
-    told = owned.status.coming if owned is not None and owned.status else ()
-    return {(model, adapter): version for model, adapter, version in told}
+    coming = owned.status.coming if owned is not None and owned.status else ()
+    return {(model, adapter): version for model, adapter, version in coming}
 
 
 class TestRouting:
-    """Hosts and paths."""
+    """Routing by host and path."""
 
     def test_an_unknown_path_is_not_found(self) -> None:
         async def test() -> None:
@@ -474,12 +412,8 @@
 
         run(test())
 
-    def test_a_change_is_in_force_at_once_and_never_goes_back(self) -> None:
-        """The operator adds a route, then an older version arrives late.
-
-        A request on the new route would get 404 again. The cause is a store that
-        answers from an older state to one reader.
-        """
+    def test_a_change_applies_at_once_and_is_never_reverted(self) -> None:
+        """Guards against an older configuration that is read late."""
 
         async def test() -> None:
             async with running_site(vms=2) as site:
@@ -497,11 +431,8 @@
 
         run(test())
 
-    def test_a_vm_without_configuration_refuses_for_now(self) -> None:
-        """A VM starts while the store is down and no peer can help.
-
-        Answered with 404, a proper request would be given up. It is told to come back.
-        """
+    def test_a_vm_without_configuration_refuses_with_retry_after(self) -> None:
+        """Guards against answering 404 before the routes are known."""
 
         async def test() -> None:
             async with running_site() as site:
@@ -516,8 +447,8 @@
 
         run(test())
 
-    def test_a_vm_takes_the_configuration_from_a_peer(self) -> None:
-        """The store answers some VMs and refuses one that has an old configuration."""
+    def test_a_vm_fetches_the_configuration_from_a_peer(self) -> None:
+        """Guards against an old configuration at a VM that the store refuses."""
 
         async def test() -> None:
             async with running_site(vms=2) as site:
@@ -539,11 +470,7 @@
     """Planned stops and leaving endpoints."""
 
     def test_a_planned_stop_cuts_nothing_off(self) -> None:
-        """A VM is told to stop while a stream runs and callers still know its address.
-
-        The stream ends whole, new calls are served while old address lists live, and
-        the process ends by itself.
-        """
+        """Guards against cut streams and refused calls during a planned stop."""
 
         async def test() -> None:
             async with running_site(vms=2) as site:
@@ -565,7 +492,7 @@
 
         run(test())
 
-    def test_a_leaving_endpoint_gets_nothing_new(self) -> None:
+    def test_a_draining_endpoint_gets_no_new_calls(self) -> None:
         async def test() -> None:
             async with running_site(services=2) as site:
                 await site.services[0].register("draining")
@@ -592,13 +519,12 @@
 
 
 class TestOutages:
-    """The store fails while callers go on."""
+    """Outages of the store."""
 
-    def test_what_runs_goes_on_while_the_store_is_down(self) -> None:
-        """The store is silent for longer than a lease.
+    def test_requests_are_served_while_the_store_is_down(self) -> None:
+        """Guards against dropped endpoints and stopped loads in an outage.
 
-        Endpoints must not be taken for gone, and the owner of an engine that checks
-        fencing numbers goes on loading: nobody else can take over meanwhile.
+        The outage lasts longer than a lease.
         """
 
         async def test() -> None:
@@ -611,11 +537,8 @@
 
         run(test())
 
-    def test_a_lapsed_record_counts_as_gone_only_after_the_stores_return(self) -> None:
-        """Records of endpoints lapse in an outage and come back a moment after it.
-
-        Dropped at the first read, every endpoint would be unknown for two seconds.
-        """
+    def test_an_expired_record_is_removed_only_after_the_outage(self) -> None:
+        """Guards against dropping endpoints whose records expired in an outage."""
 
         async def test() -> None:
             async with running_site() as site:
@@ -633,11 +556,7 @@
         run(test())
 
     def test_another_vm_takes_over_a_dead_owners_engines(self) -> None:
-        """The owner of an engine dies; requests need an adapter that is not loaded.
-
-        Without a new owner they would be refused for ever. The fencing number of the
-        new owner's orders is higher than that of the dead one's.
-        """
+        """Guards against engines that remain without an owner when theirs dies."""
 
         async def test() -> None:
             async with running_site(vms=2) as site:
@@ -657,14 +576,10 @@
 
 
 class TestRegistrations:
-    """VMs find one another by records in the store."""
-
-    def test_a_malformed_record_hides_no_other_vm(self) -> None:
-        """Somebody else writes into the topic of the VMs' addresses.
+    """Discovery of VMs by records in the store."""
 
-        One record that was no pair ended the reading for good: a VM that started then
-        never found the others, and asked nobody for places.
-        """
+    def test_a_malformed_record_does_not_hide_other_vms(self) -> None:
+        """Guards against a bad record that ends the reading of addresses."""
 
         async def test() -> None:
             async with running_site() as site:
@@ -681,12 +596,7 @@
         self,
         monkeypatch: pytest.MonkeyPatch,
     ) -> None:
-        """All VMs are killed and start again while callers go on.
-
-        A VM told the others who it is and what it owns only with its next regular
-        status, before it had even read their addresses. Until then it sent requests
-        past the owners of the engines: nobody counted them, nobody paced them.
-        """
+        """Guards against requests that bypass engine owners after all VMs restarted."""
         monkeypatch.setattr(neighbours, "SMALL_INTERVAL_S", 30.0)
 
         async def test() -> None:
@@ -696,15 +606,11 @@
 
         run(test())
 
-    def test_a_vm_that_comes_back_is_answered_by_those_that_went_on(
+    def test_a_restarted_vm_gets_ownership_from_its_peers_at_once(
         self,
         monkeypatch: pytest.MonkeyPatch,
     ) -> None:
-        """One VM is killed and starts again; the others know it as silent by then.
-
-        It tells them who it is. Told what they own only with their next regular
-        status, it would send requests past the owners meanwhile.
-        """
+        """Guards against requests that bypass engine owners after a VM restarted."""
         monkeypatch.setattr(neighbours, "SMALL_INTERVAL_S", 30.0)
         monkeypatch.setattr(neighbours, "MISSED", 0.0)
 
@@ -717,20 +623,15 @@
                 site.vms.remove(gone)
                 await asyncio.sleep(0.5)
                 added = await site.add_vm(gone.node.name)
-                heard = added.vm.state.fleet.engine
-                await eventually(lambda: heard(engine_id) is not None)
-                told = heard(engine_id)
-                assert told is not None and told.owner == owner.node.name
+                known_engine = added.vm.state.fleet.engine
+                await eventually(lambda: known_engine(engine_id) is not None)
+                owned = known_engine(engine_id)
+                assert owned is not None and owned.owner == owner.node.name
 
         run(test())
 
-    def test_requests_wait_for_owners_that_have_not_been_heard_yet(self) -> None:
-        """Many callers come back to VMs that have just started.
-
-        Their adapter is loaded, so that each VM sent them straight to the engine, past
-        its owner, which heard of none. All prompts together hold up every stream of
-        the engine. An owner is known some tens of milliseconds later.
-        """
+    def test_requests_wait_for_owners_that_are_not_known_yet(self) -> None:
+        """Guards against prompts that bypass the owner's pacing after a restart."""
 
         async def test() -> None:
             async with running_site(vms=2) as site:
@@ -738,12 +639,12 @@
                 await site.runners[0].register("ready")
                 await _restart_all(site)
                 await eventually(lambda: all(i.vm.state.serving() for i in site.vms))
-                asked = [
+                calls = [
                     call(item.address, "/chat/1", adapter="a1")
                     for item in site.vms
                     for _ in range(4)
                 ]
-                answers = await asyncio.gather(*asked)
+                answers = await asyncio.gather(*calls)
                 assert {answer.status for answer in answers} == {200}
                 lines = [line for i in site.vms for line in i.journal.of("request")]
                 assert len(lines) == len(answers)
@@ -753,7 +654,7 @@
 
 
 async def _restart_all(site: Site) -> None:
-    """Kill all VMs and start them again under their names, sooner than leases lapse."""
+    """Kill all VMs and restart them under their names before their leases expire."""
     names = [item.node.name for item in site.vms]
     for item in site.vms:
         item.task.cancel()
@@ -764,9 +665,9 @@
 
 
 class TestStateDump:
-    """What operators read of one VM."""
+    """The state dump for operators."""
 
-    def test_it_tells_whom_the_vm_watches_and_how_old_that_is(self) -> None:
+    def test_it_contains_neighbours_and_ages(self) -> None:
         async def test() -> None:
             async with running_site(vms=2) as site:
                 dump = json.loads(json.dumps(site.vms[0].vm.dump(), default=str))
@@ -780,7 +681,7 @@
 
         run(test())
 
-    def test_a_vm_that_knows_nobody_yet_has_a_dump_as_well(self) -> None:
+    def test_a_vm_without_known_peers_has_a_dump(self) -> None:
         async def test() -> None:
             async with running_site() as site:
                 site.vms[0].vm.peering.exchange.store_answered_at = NEVER
@@ -791,7 +692,7 @@
 
 
 class TestConnections:
-    """What callers do on their connections."""
+    """Connections of callers."""
 
     def test_a_connection_serves_many_requests(self) -> None:
         async def test() -> None:
@@ -814,15 +715,13 @@
         run(test())
 
 
-class TestStandIns:
-    """Owners that stand in while the store is away."""
+class TestTakeover:
+    """Takeover of engines during a store outage."""
 
     def test_an_engine_is_owned_again_although_the_store_is_down(self) -> None:
-        """The store goes down, then the owner of an engine dies.
+        """Guards against engines without an owner until a store outage ends.
 
-        The store cannot name another owner, so every adapter that is not loaded would
-        be refused until the outage ends. A live VM stands in with a higher fencing
-        number; when the store is back, its word counts again.
+        A live VM takes over; after the outage the store's assignment applies again.
         """
 
         async def test() -> None:
@@ -848,10 +747,10 @@
 
 
 class TestPlacesOfAVMThatRestarts:
-    """Places at an engine that were granted to a VM's process before this one."""
+    """Places at an engine that were granted to an earlier process of a VM."""
 
     def test_places_are_freed_although_its_vm_is_back_before_it_is_missed(self) -> None:
-        """Guards against places, and slots, that stay taken for a process long dead."""
+        """Guards against places, and slots, that stay held for a process that ended."""
 
         async def test() -> None:
             async with running_site(vms=2) as site:
@@ -862,7 +761,7 @@
                 site.runners[0].faults.hang = True
                 lost = asyncio.create_task(call(other.address, "/chat/1", adapter="a1"))
                 await eventually(lambda: _active(owner) == 1)
-                _says_nothing_more(other)
+                _drop_outgoing_messages(other)
                 other.task.cancel()
                 await other.vm.close()
                 site.vms.remove(other)
@@ -874,8 +773,8 @@
         run(test())
 
 
-def _says_nothing_more(vm: RunningVM) -> None:
-    """Let a VM end as if killed: no word to its peers leaves it."""
+def _drop_outgoing_messages(vm: RunningVM) -> None:
+    """Make a VM end as if killed: it sends no more messages."""
     vm.vm.links.notify = lambda *message: None  # type: ignore[method-assign]
     vm.vm.links.notify_all = lambda *message: None  # type: ignore[method-assign]
 
@@ -887,12 +786,8 @@
 class TestIsolation:
     """A VM that is cut off from its peers but not from the store."""
 
-    def test_it_gives_up_its_engines_and_sends_callers_elsewhere(self) -> None:
-        """One of four VMs is cut off from the others; store and engines answer it.
-
-        It would keep its engines, which nobody could ask for: their slots stand empty
-        while the other engines are full. The store tells that the others live.
-        """
+    def test_it_releases_its_engines_and_stops_serving(self) -> None:
+        """Guards against engines whose owner is unreachable for all other VMs."""
 
         async def test() -> None:
             async with running_site(vms=4) as site:
@@ -919,7 +814,7 @@
 
 
 def refuse_request(vm_id: str, message: object, timeout_s: float) -> Future:
-    """Fail a request as one to a VM that cannot be reached."""
+    """Fail a request as one to an unreachable VM."""
     future: Future = Future()
     future.set_exception(PeerUnreachableError("cut off"))
     return future
--- a/tests/test_gateway_lost_reads.py
+++ b/tests/test_gateway_lost_reads.py
@@ -1,4 +1,4 @@
-"""Waiting reads of the store whose answer was lost."""
+"""Tests of long-poll reads of the store whose answer was lost."""
 
 import asyncio
 import contextlib
@@ -11,8 +11,8 @@
 Records = tuple[tuple[KeyedRecord, ...], int]
 
 
-class SilentReads:
-    """A store whose reads are never answered; joins fail as told."""
+class UnansweredReads:
+    """A store whose reads are never answered; joins raise ``error`` if set."""
 
     def __init__(self) -> None:
         self.error: StoreError | None = None
@@ -25,74 +25,74 @@
         return (), offset
 
     async def join(self, *_: object) -> Membership:
-        """Answer, or fail."""
+        """Return a membership, or fail."""
         if self.error is not None:
             raise self.error
         return Membership(1, ())
 
 
-async def _join(contact: LostReadDetector) -> None:
+async def _join(detector: LostReadDetector) -> None:
     with contextlib.suppress(StoreError):
-        await contact.join("g", "me", [], 2.0, 0, 1.0)
+        await detector.join("g", "me", [], 2.0, 0, 1.0)
 
 
-class TestWaitingReads:
-    """What other calls say of a read that is open."""
+class TestLongPollReads:
+    """Effect of other calls on an open read."""
 
     @pytest.mark.parametrize("status", [None, 503])
-    def test_a_read_that_was_open_at_a_failure_is_begun_anew(
+    def test_a_read_that_was_open_at_a_failure_is_cancelled(
         self, status: int | None
     ) -> None:
-        """Guards against waiting for an answer that went with an outage."""
+        """Guards against waiting for an answer that was lost in an outage."""
 
         async def test() -> None:
-            store = SilentReads()
-            contact = LostReadDetector(store)  # type: ignore[arg-type]
-            read = asyncio.create_task(contact.read("t", 0, 20.0))
+            store = UnansweredReads()
+            detector = LostReadDetector(store)  # type: ignore[arg-type]
+            read = asyncio.create_task(detector.read("t", 0, 20.0))
             await asyncio.sleep(0.01)
             store.error = StoreError("gone", status)
-            await _join(contact)
+            await _join(detector)
             await asyncio.sleep(0.01)
             assert not read.done()
             store.error = None
-            await _join(contact)
+            await _join(detector)
             with pytest.raises(NoAnswerError):
                 await read
 
         asyncio.run(test())
 
-    def test_a_read_begun_after_the_failure_goes_on(self) -> None:
-        """Guards against a storm of reads while calls fail now and then."""
+    def test_a_read_started_after_the_failure_goes_on(self) -> None:
+        """Guards against repeated reads while other calls fail occasionally."""
 
         async def test() -> None:
-            store = SilentReads()
-            contact = LostReadDetector(store)  # type: ignore[arg-type]
+            store = UnansweredReads()
+            detector = LostReadDetector(store)  # type: ignore[arg-type]
             store.error = StoreError("gone")
-            await _join(contact)
+            await _join(detector)
             await asyncio.sleep(0.01)
             store.error = None
-            read = asyncio.create_task(contact.read("t", 0, 20.0))
+            read = asyncio.create_task(detector.read("t", 0, 20.0))
             for _ in range(3):
                 await asyncio.sleep(0.01)
-                await _join(contact)
+                await _join(detector)
             assert not read.done()
             assert store.reads == 1
             read.cancel()
 
         asyncio.run(test())
 
-    def test_a_refusal_of_one_call_gives_up_no_read(self) -> None:
-        """Guards against more calls to a store that has just said: too many."""
+    def test_a_refused_call_cancels_no_read(self) -> None:
+        """Guards against more calls to a store that limits the rate."""
 
         async def test() -> None:
-            store = SilentReads()
-            contact = LostReadDetector(store)  # type: ignore[arg-type]
-            read = asyncio.create_task(contact.read("t", 0, 20.0))
+            store = UnansweredReads()
+            detector = LostReadDetector(store)  # type: ignore[arg-type]
+            read = asyncio.create_task(detector.read("t", 0, 20.0))
             await asyncio.sleep(0.01)
             store.error = StoreError("too many", 429)
-            await _join(contact)
+            await _join(detector)
             store.error = None
-            await _join(contact)
+            await _join(detector)
             await asyncio.sleep(0.01)
             assert not read.done()
             read.cancel()
@@ -100,11 +100,11 @@
         asyncio.run(test())
 
     def test_a_cancelled_read_stays_cancelled(self) -> None:
-        """Guards against a stop that looks like a lost answer."""
+        """Guards against treating a cancellation as a lost answer."""
 
         async def test() -> None:
-            contact = LostReadDetector(SilentReads())  # type: ignore[arg-type]
-            read = asyncio.create_task(contact.read("t", 0, 20.0))
+            detector = LostReadDetector(UnansweredReads())  # type: ignore[arg-type]
+            read = asyncio.create_task(detector.read("t", 0, 20.0))
             await asyncio.sleep(0.01)
             read.cancel()
             with pytest.raises(asyncio.CancelledError):
--- a/tests/test_gateway_outages.py
+++ b/tests/test_gateway_outages.py
@@ -1,4 +1,4 @@
-"""What entry VMs believe while the store, or the way to it, fails for some or all."""
+"""Tests of entry VMs while the store is unreachable for some or all of them."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -15,15 +15,15 @@
     running_site,
 )
 
-LEAVING_S = 2.0
-"""After an endpoint has left, calls may reach it for so long."""
-IN_TOUCH_S = 3.0
-"""After a disturbance has ended, or connections fell silent, all bounds hold again."""
+REMOVAL_S = 2.0
+"""Time after which an endpoint that left must get no more calls."""
+RECOVERY_S = 3.0
+"""Time after an outage, or after connections died, until all bounds hold again."""
 
 
 @asynccontextmanager
 async def one_vm_without_store(site: Site) -> AsyncIterator[RunningVM]:
-    """Add a VM that alone loses the store, and return it once it has."""
+    """Add a VM and cut only its connection to the store."""
     proxy = await proxy_of_store(site)
     vm = await site.add_vm("cut-off", store=proxy.address)
     await site.ready()
@@ -39,10 +39,10 @@
 
 
 class TestOneVMWithoutStore:
-    """One VM can't reach the store, which serves all others."""
+    """One VM cannot reach the store, which serves all others."""
 
     def test_an_endpoint_that_left_gets_no_calls_from_a_vm_without_store(self) -> None:
-        """Guards against taking our own cut for an outage in which records lapse."""
+        """Guards against treating a cut of one VM as an outage of the store."""
 
         async def test() -> None:
             async with (
@@ -52,7 +52,7 @@
                 await asyncio.sleep(1.0)
                 left = site.services[0]
                 await left.unregister()
-                await asyncio.sleep(LEAVING_S)
+                await asyncio.sleep(REMOVAL_S)
                 calls_before = len(left.runs)
                 for _ in range(8):
                     answer = await call(cut_off.address, "/check/1")
@@ -63,11 +63,11 @@
         run(test())
 
 
-class TestReturnOfTheStore:
-    """The store was silent for all VMs and answers again."""
+class TestRecoveryOfTheStore:
+    """The store answers again after an outage for all VMs."""
 
-    def test_a_change_right_after_a_silence_is_in_force_in_time(self) -> None:
-        """Guards against waiting for an answer that was lost with the silence."""
+    def test_a_change_right_after_an_outage_applies_in_time(self) -> None:
+        """Guards against waiting for a read whose answer was lost in the outage."""
 
         async def test() -> None:
             async with running_site(vms=2, behind_proxy=True) as site:
@@ -78,13 +78,13 @@
                 await site.store.put("keyed.op", "config", configuration(version=2))
                 await eventually(
                     lambda: all(_version(vm) == 2 for vm in site.vms),
-                    timeout_s=IN_TOUCH_S,
+                    timeout_s=RECOVERY_S,
                 )
 
         run(test())
 
-    def test_a_change_is_in_force_although_open_connections_fell_silent(self) -> None:
-        """Guards against trusting a waiting read on a connection that is dead."""
+    def test_a_change_applies_although_open_connections_are_dead(self) -> None:
+        """Guards against waiting for a long-poll read on a dead connection."""
 
         async def test() -> None:
             async with running_site(vms=2, behind_proxy=True) as site:
@@ -92,20 +92,20 @@
                 await site.store.put("keyed.op", "config", configuration(version=2))
                 await eventually(
                     lambda: all(_version(vm) == 2 for vm in site.vms),
-                    timeout_s=IN_TOUCH_S,
+                    timeout_s=RECOVERY_S,
                 )
 
         run(test())
 
-    def test_a_leaving_endpoint_is_known_although_connections_fell_silent(self) -> None:
-        """Guards against calls to an endpoint whose leaving nobody reads in time."""
+    def test_a_leaving_endpoint_is_known_although_connections_are_dead(self) -> None:
+        """Guards against calls to a leaving endpoint whose record is read late."""
 
         async def test() -> None:
             async with running_site(vms=2, services=2, behind_proxy=True) as site:
                 site.store_proxy.silence_open()
                 left = site.services[0]
                 await left.register("draining")
-                await asyncio.sleep(IN_TOUCH_S)
+                await asyncio.sleep(RECOVERY_S)
                 calls_before = len(left.runs)
                 for _ in range(8):
                     await call(site.vms[0].address, "/check/1")
@@ -114,11 +114,11 @@
         run(test())
 
 
-class TestWhatAnOutageShows:
-    """What operators see while the store fails."""
+class TestOutageReporting:
+    """What operators see while the store is unreachable."""
 
-    def test_the_dump_and_the_counters_tell_of_a_read_without_answer(self) -> None:
-        """Guards against a lost answer that no log, dump or counter shows."""
+    def test_a_read_without_answer_is_in_dump_and_metrics(self) -> None:
+        """Guards against a lost answer that no log, dump or metric shows."""
 
         async def test() -> None:
             async with running_site() as site:
@@ -131,8 +131,8 @@
 
         run(test())
 
-    def test_a_record_that_lapses_in_an_outage_is_logged(self) -> None:
-        """Guards against an endpoint that is kept for a reason nobody can see."""
+    def test_a_record_that_expires_in_an_outage_is_logged(self) -> None:
+        """Guards against an endpoint that is kept for no visible reason."""
 
         async def test() -> None:
             async with running_site() as site:
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -1,4 +1,4 @@
-"""Parts of the routed interface that need no socket."""
+"""Unit tests of parts of the routed interface that use no sockets."""
 
 import asyncio
 import contextlib
@@ -50,10 +50,10 @@
 
 
 class TestEvents:
-    """Streams cut into whole events."""
+    """Splitting of streams into whole events."""
 
     @given(st.lists(st.integers(1, 7), min_size=1, max_size=40))
-    def test_events_are_the_same_however_the_bytes_come(self, sizes: list[int]) -> None:
+    def test_events_do_not_depend_on_chunk_sizes(self, sizes: list[int]) -> None:
         data = b"".join(f"id: {n}\ndata: {n}\n\n".encode() for n in range(1, 6))
         buffer = EventBuffer()
         events = []
@@ -66,13 +66,13 @@
         assert b"".join(event.data for event in events) == data
         assert not buffer.has_partial
 
-    def test_an_event_that_comes_twice_breaks_the_stream(self) -> None:
+    def test_a_repeated_event_breaks_the_stream(self) -> None:
         buffer = EventBuffer()
         buffer.feed(b"id: 1\n\nid: 2\n\n")
         with pytest.raises(EventsBroken):
             buffer.feed(b"id: 2\n\n")
 
-    def test_a_resumed_stream_must_go_on_behind_its_last_event(self) -> None:
+    def test_a_resumed_stream_must_continue_after_its_last_event(self) -> None:
         buffer = EventBuffer(resume_after="7")
         with pytest.raises(EventsBroken):
             buffer.feed(b"id: 7\n\n")
@@ -88,7 +88,7 @@
 
 
 class TestRoutingTable:
-    """The longest prefix wins."""
+    """Route lookup by host and path prefix."""
 
     def test_the_longest_prefix_wins(self) -> None:
         found = table("/a/", "/a/b/", "/").match("h.example:80", "/a/b/c?x=/d/")
@@ -101,7 +101,7 @@
     def test_another_host_has_no_routes(self) -> None:
         assert table("/").match("other.example", "/") is None
 
-    def test_many_routes_cost_no_scan(self) -> None:
+    def test_a_route_among_many_is_found(self) -> None:
         many = table(*(f"/r{n}/" for n in range(5000)))
         assert many.match("H.EXAMPLE", "/r4999/x") is not None
 
@@ -122,7 +122,7 @@
 
 
 class TestRecords:
-    """What the operator and endpoints write, also when it is malformed."""
+    """Decoding of records of the operator and the endpoints."""
 
     @pytest.mark.parametrize(
         "source",
@@ -133,7 +133,7 @@
             decode_routing_table(source)
 
     @given(st.dictionaries(st.sampled_from(["service", "addr", "slots"]), st.text()))
-    def test_a_malformed_endpoint_never_escapes_as_another_error(
+    def test_a_malformed_endpoint_raises_no_other_error(
         self, record: dict[str, str]
     ) -> None:
         try:
@@ -167,20 +167,16 @@
             ("remaining-ms", "soon"),
         ],
     )
-    def test_a_record_of_another_writer_names_no_endpoint(
+    def test_a_field_of_another_type_is_a_bad_record(
         self, field: str, value: Any
     ) -> None:
-        """Somebody else writes into the endpoints' topic with fields of other types.
-
-        Coerced, a number became a service's name and a state that nobody knows took an
-        endpoint out of use without a word; requests went to what is no endpoint.
-        """
+        """Guards against converting values that another writer put into a record."""
         record = {**ENDPOINT_RECORD, field: value}
         with pytest.raises(BadRecordError, match="endpoint e"):
             decode_endpoint("e", json.dumps(record).encode())
 
     @pytest.mark.parametrize("field", ["service", "addr", "zone", "state", "slots"])
-    def test_a_record_without_a_field_names_no_endpoint(self, field: str) -> None:
+    def test_a_missing_field_is_a_bad_record(self, field: str) -> None:
         record = {k: v for k, v in ENDPOINT_RECORD.items() if k != field}
         with pytest.raises(BadRecordError, match=field):
             decode_endpoint("e", json.dumps(record).encode())
@@ -193,7 +189,7 @@
         )
         | st.dictionaries(FIELD_NAMES, st.text() | st.integers())
     )
-    def test_any_document_is_read_or_refused_as_a_bad_record(self, value: Any) -> None:
+    def test_any_document_is_decoded_or_a_bad_record(self, value: Any) -> None:
         source = json.dumps(value).encode()
         for read in (
             lambda: decode_endpoint("e", source),
@@ -203,13 +199,13 @@
                 read()
 
     @given(st.binary())
-    def test_any_bytes_are_read_or_refused_as_a_bad_record(self, source: bytes) -> None:
+    def test_any_bytes_are_decoded_or_a_bad_record(self, source: bytes) -> None:
         with contextlib.suppress(BadRecordError):
             decode_endpoint("e", source)
         with contextlib.suppress(BadRecordError):
             decode_adapter_version(source)
 
-    def test_the_start_of_an_endpoint_is_read(self) -> None:
+    def test_the_start_time_of_an_endpoint_is_decoded(self) -> None:
         record = {**ENDPOINT_RECORD, "born": 1_760_000_000_123}
         decoded = decode_endpoint("e", json.dumps(record).encode())
         assert decoded.started_ms == 1_760_000_000_123
@@ -240,18 +236,18 @@
 
 
 def status(engine: str, fence: int) -> EngineStatus:
-    """Return what an owner tells of one engine."""
+    """Return a status of one engine."""
     return EngineStatus(engine, fence, (), (), (), 0, 8, 0, 0.0, 2, 100, 1 / 20_000)
 
 
 def member(name: str, revision: int, *owned: tuple[str, int], **fields: Any) -> Member:
-    """Return what a VM tells of itself."""
+    """Return a VM's membership entry."""
     fields = {"serving": True, **fields}
     return Member(name, 1, revision, "127.0.0.1", 1, 2, "a", owned=owned, **fields)
 
 
 def fleet_of(*members: Member) -> Fleet:
-    """Return the fleet of a VM that has heard of these."""
+    """Return the fleet of a VM that knows these members."""
     fleet = Fleet(member("me", 1))
     for item in members:
         fleet.membership.take(item, 0.0)
@@ -259,24 +255,21 @@
 
 
 class TestFleet:
-    """Who lives and who owns what."""
+    """Live VMs and owners of engines."""
 
-    def test_a_silent_vm_is_left_out(self) -> None:
+    def test_an_unreachable_vm_is_not_serving(self) -> None:
         fleet = fleet_of(member("a", 1))
         assert [item.vm_id for item in fleet.serving()] == ["a"]
         fleet.membership.on_unheard("a", 5.0)
         assert fleet.serving() == []
 
-    def test_a_stopping_vm_is_left_out_at_once(self) -> None:
+    def test_a_stopping_vm_is_not_serving(self) -> None:
         fleet = fleet_of(member("a", 1))
         fleet.membership.take(member("a", 2, serving=False), 0.1)
         assert fleet.serving() == []
 
-    def test_the_owner_with_the_higher_number_is_believed(self) -> None:
-        """An owner that was frozen wakes up and still tells what it owned.
-
-        Asked for a place it could order nothing any more; requests would wait there.
-        """
+    def test_the_owner_with_the_higher_fencing_number_prevails(self) -> None:
+        """Guards against a former owner that resumes and publishes its engines."""
         fleet = fleet_of(member("new", 1, ("e", 5)))
         owned = fleet.engine("e")
         assert owned is not None and owned.owner == "new"
@@ -285,8 +278,8 @@
         owned = fleet.engine("e")
         assert owned is not None and owned.owner == "new"
 
-    def test_a_dead_owner_with_a_higher_number_is_not(self) -> None:
-        """An owner dies while the store is away; another VM stands in for it."""
+    def test_a_dead_owner_with_a_higher_fencing_number_does_not(self) -> None:
+        """Guards against a dead owner that hides the VM that took its engine over."""
         fleet = fleet_of(member("dead", 1, ("e", 5)))
         assert fleet.engine("e") is not None
         fleet.membership.on_unheard("dead", 2.0)
@@ -294,7 +287,7 @@
         owned = fleet.engine("e")
         assert owned is not None and owned.owner == "b"
 
-    def test_an_engine_that_its_owner_no_longer_names_is_given_up(self) -> None:
+    def test_an_engine_that_its_owner_no_longer_lists_is_released(self) -> None:
         fleet = fleet_of(member("a", 1, ("e", 5)))
         assert fleet.engine("e") is not None
         fleet.membership.take(member("a", 2), 1.1)
@@ -304,19 +297,16 @@
         owned = fleet.engine("e")
         assert owned is not None and owned.owner == "b"
 
-    def test_an_owners_word_may_come_before_the_news_of_it(self) -> None:
-        """An owner tells its VMs at once; that it owns the engine takes some steps.
-
-        Its word must not be taken for given up just because its news is on the way.
-        """
+    def test_a_status_may_arrive_before_gossip_of_its_owner(self) -> None:
+        """Guards against treating an engine as released before the gossip arrives."""
         fleet = fleet_of(member("a", 1), member("b", 1))
         fleet.on_statuses("a", [status("e", 4)], 1.0)
         fleet.membership.take(member("b", 2), 1.1)
         owned = fleet.engine("e")
         assert owned is not None and not owned.released and owned.owner == "a"
 
-    def test_a_new_owner_goes_on_from_the_last_ones_word(self) -> None:
-        """An owner stops; who asks its successor first knows what is loaded."""
+    def test_the_last_status_is_kept_until_a_new_owner_publishes(self) -> None:
+        """Guards against losing what is loaded when an owner stops."""
         fleet = fleet_of(member("a", 1, ("e", 4)))
         fleet.on_statuses("a", [replace(status("e", 4), kept=7)], 1.0)
         fleet.membership.take(member("b", 1, ("e", 5)), 1.1)
@@ -324,8 +314,8 @@
         assert owned is not None and owned.owner == "b"
         assert owned.status is not None and owned.status.kept == 7
 
-    def test_every_vm_of_a_large_fleet_names_the_same_candidates(self) -> None:
-        """Each VM that may own engines costs the store calls all day."""
+    def test_every_vm_of_a_large_fleet_designates_the_same_candidates(self) -> None:
+        """Guards against more owners, and store calls, than designated."""
         names = [f"vm{number}" for number in range(75)]
         fleets = [Fleet(member(name, 1)) for name in names]
         for fleet in fleets:
@@ -335,7 +325,7 @@
         assert len(candidates) == 1
         assert len(candidates.pop()) == 24
 
-    def test_words_on_load_change_nothing_but_the_load(self) -> None:
+    def test_loads_change_only_the_load(self) -> None:
         fleet = fleet_of(member("a", 1, ("e", 5)))
         fleet.on_statuses("a", [status("e", 5)], 1.0)
         fleet.on_loads("a", (EngineLoad("e", 7, 3, 0.5, -2),), 1.1)
@@ -345,11 +335,8 @@
         assert (owned.status.active, owned.status.open_slots) == (7, -2)
         assert owned.fence == 5
 
-    def test_words_on_load_of_a_former_owner_are_not_taken(self) -> None:
-        """An owner that was replaced still tells its view of the engine.
-
-        Entry VMs would choose by slots that are long in use.
-        """
+    def test_loads_of_a_former_owner_are_ignored(self) -> None:
+        """Guards against choosing engines by the stale load of a former owner."""
         fleet = fleet_of(member("a", 1, ("e", 4)))
         fleet.on_statuses("a", [status("e", 4)], 1.0)
         fleet.membership.take(member("b", 1, ("e", 5)), 1.1)
@@ -359,8 +346,8 @@
         assert owned is not None and owned.status is not None
         assert owned.status.open_slots == 2
 
-    def test_a_word_that_was_refuted_is_void(self) -> None:
-        """Two neighbours of a VM that was frozen say so late, after it has woken up."""
+    def test_a_refuted_suspicion_is_ignored(self) -> None:
+        """Guards against late suspicions of a VM that is reachable again."""
         fleet = fleet_of(*(member(name, 1) for name in "abc"))
         fleet.membership.take(member("a", 2, refuted=1), 1.0)
         for observer in "bc":
@@ -369,14 +356,10 @@
 
 
 class TestEngineViews:
-    """What an entry VM chooses by, against what the engine's owner decided by."""
+    """Views by which an entry VM chooses engines."""
 
-    def test_an_owners_word_arrives_whole(self) -> None:
-        """An owner tells something of its engine that choosers never learn.
-
-        A field of the status was not taken over, and what was to go by it did nothing:
-        it showed only on a day played with and without, which were the same.
-        """
+    def test_a_status_arrives_whole(self) -> None:
+        """Guards against a field of the status that is not copied to the view."""
         outlook = EngineOutlook(
             loaded={("base", "a1"): 2},
             coming={("base", "a2"): 1},
@@ -390,7 +373,7 @@
             s_per_token=1 / 13_000,
             held_up=True,
         )
-        told = EngineStatus(
+        published = EngineStatus(
             engine_id="e",
             fence=1,
             loaded=(("base", "a1", 2),),
@@ -402,14 +385,14 @@
             },
         )
         fleet = fleet_of(member("a", 1, ("e", 1)))
-        fleet.on_statuses("a", [told], 1.0)
+        fleet.on_statuses("a", [published], 1.0)
         engines = Engines("me", fleet, None, lambda: 1.0)  # type: ignore[arg-type]
         record = EndpointRecord("e", "llm", ("10.0.0.1", 1), "a", True, 8)
         assert engines.views([record])["e"].outlook == outlook
 
 
 class FakeStore:
-    """Answers joins as told."""
+    """A store that answers joins with ``answer``, or fails without one."""
 
     def __init__(self) -> None:
         self.answer: Membership | None = None
@@ -417,14 +400,14 @@
         self.leaves = 0
 
     async def join(self, *args: Any, **kwargs: Any) -> Membership:
-        """Answer, or fail."""
+        """Return the membership, or fail."""
         self.joins += 1
         if self.answer is None:
             raise StoreError("down")
         return self.answer
 
     async def leave(self, group: str, member: str) -> None:
-        """Count."""
+        """Count the call."""
         self.leaves += 1
 
 
@@ -436,7 +419,7 @@
     name: str = "me",
     may_own: Callable[[], bool] = lambda: True,
 ) -> Ownership:
-    """Return the ownership of one VM over one partition."""
+    """Return the ownership of one VM, with one partition."""
     return Ownership(
         name,
         1,
@@ -454,14 +437,10 @@
 
 
 class TestOwnership:
-    """When orders may go out."""
+    """When orders may be sent."""
 
     def test_a_vm_frozen_past_its_lease_orders_nothing(self) -> None:
-        """A VM is frozen longer than its lease and wakes up; engines check nothing.
-
-        Another VM owns its engines by now. The steady clock has not moved; the lease
-        is measured by a clock that has.
-        """
+        """Guards against orders of a VM that resumes after its lease expired."""
 
         async def test() -> None:
             clock = [0.0]
@@ -477,7 +456,7 @@
 
         run(test())
 
-    def test_where_nobody_checks_numbers_the_last_lease_must_be_over(self) -> None:
+    def test_without_fencing_the_last_lease_must_have_expired(self) -> None:
         async def test() -> None:
             clock = [0.0]
             store = FakeStore()
@@ -488,7 +467,7 @@
 
         run(test())
 
-    def test_an_owner_goes_on_in_an_outage_where_engines_check_numbers(self) -> None:
+    def test_with_fencing_an_owner_goes_on_in_an_outage(self) -> None:
         async def test() -> None:
             clock = [0.0]
             store = FakeStore()
@@ -502,8 +481,8 @@
 
         run(test())
 
-    def test_stand_ins_never_use_the_same_number(self) -> None:
-        """Two VMs each believe that they should stand in for a lost owner."""
+    def test_takeovers_never_use_the_same_fencing_number(self) -> None:
+        """Guards against two VMs that both take over the same engine."""
         clock = [0.0]
         tokens = set()
         for name in ("a", "b"):
@@ -513,7 +492,7 @@
         assert len(tokens) == 2
         assert min(tokens) > 4 << 24
 
-    def test_the_stores_word_ends_a_stand_in(self) -> None:
+    def test_an_answer_of_the_store_ends_a_takeover(self) -> None:
         async def test() -> None:
             clock = [0.0]
             store = FakeStore()
@@ -526,11 +505,8 @@
 
         run(test())
 
-    def test_the_rightful_owner_passes_a_number_that_a_stand_in_used(self) -> None:
-        """A stand-in used a higher number; the store names the old owner again.
-
-        Its orders would be refused for ever under the old number.
-        """
+    def test_the_owner_exceeds_a_number_used_in_a_takeover(self) -> None:
+        """Guards against an owner whose orders are refused after a takeover."""
 
         async def test() -> None:
             clock = [0.0]
@@ -545,7 +521,7 @@
         run(test())
 
     def test_a_vm_that_may_own_nothing_leaves_the_group(self) -> None:
-        """In a large fleet the store would give engines to VMs that do not renew."""
+        """Guards against engines assigned to VMs that do not renew."""
 
         async def test() -> None:
             store = FakeStore()
@@ -569,7 +545,7 @@
 
 
 def collecting_logger() -> tuple[logging.Logger, list[str]]:
-    """Return a logger and the list that its lines go to."""
+    """Return a logger and the list that collects its lines."""
     lines: list[str] = []
     logger = logging.Logger("test")
     handler = logging.Handler()
@@ -579,9 +555,9 @@
 
 
 class TestJournal:
-    """Lines are bounded and never block."""
+    """Rate limit of lines and non-blocking writes."""
 
-    def test_a_flood_is_cut_and_counted(self) -> None:
+    def test_excess_lines_are_dropped_and_counted(self) -> None:
         logger, lines = collecting_logger()
         now = [0.0]
         journal = Journal("me", logger, now=lambda: now[0])
@@ -592,12 +568,8 @@
         journal.write("request")
         assert json.loads(lines[-1])["lines_left_out"] == 10_000 - BURST_LINES
 
-    def test_a_line_tells_the_time_of_day_beside_the_vms_own_clock(self) -> None:
-        """An engineer lays the lines of several VMs side by side.
-
-        Each VM's steady clock begins somewhere else, so that nothing told which line
-        came first.
-        """
+    def test_a_line_has_monotonic_and_wall_clock_time(self) -> None:
+        """Guards against lines of several VMs that cannot be put in order."""
         logger, lines = collecting_logger()
         journal = Journal(
             "entry-1", logger, now=lambda: 7.25, time_of_day=lambda: 1000.5
@@ -606,11 +578,8 @@
         [line] = [json.loads(text) for text in lines]
         assert (line["at"], line["time"]) == (7.25, 1000.5)
 
-    def test_a_reader_that_stops_never_blocks_the_writer(self) -> None:
-        """Whoever collects the logs hangs; the pipe fills up.
-
-        A blocking write would stop every request on this VM.
-        """
+    def test_a_stopped_reader_does_not_block_the_writer(self) -> None:
+        """Guards against a log collector that hangs and thereby blocks all requests."""
         reader, writer = os.pipe()
         with os.fdopen(writer, "w") as stream:
             handler = NonBlockingHandler(stream)
@@ -628,7 +597,7 @@
 
 
 class ScriptedStore:
-    """A topic that is read as told; counts the reads."""
+    """A topic with one more record at each read; counts the reads."""
 
     def __init__(self) -> None:
         self.reads = 0
@@ -646,7 +615,7 @@
 
 
 def follower(store: ScriptedStore, seen: list[int], reads: bool) -> TopicFollower:
-    """Return a follower that reads itself or waits for news."""
+    """Return a follower that reads itself or waits for rows of peers."""
     return TopicFollower(
         "t",
         store,  # type: ignore[arg-type]
@@ -665,14 +634,10 @@
 
 
 class TestEndpointView:
-    """What counts as a change of an endpoint."""
+    """Changes of endpoints."""
 
     def test_a_heartbeat_with_other_adapters_is_no_change(self) -> None:
-        """Engines list their adapters in every heartbeat, 45 engines 40 times a second.
-
-        Passed on between 75 VMs as changes, they took more bytes and time than the
-        requests themselves.
-        """
+        """Guards against passing every heartbeat of an engine on to all VMs."""
         view = _new_view()
         changes: list[EndpointChange] = []
         view.listen(changes.append)
@@ -692,42 +657,38 @@
     return view, changes
 
 
-class TestStartsUnderOneId:
-    """An endpoint that starts again under the id that it had."""
+class TestRestarts:
+    """Restarts of an endpoint under the same registered id."""
 
     OLD = EndpointRecord("e", "llm", ("10.0.0.1", 1), "a", True, 8, started_ms=1000)
     NEW = EndpointRecord("e", "llm", ("10.0.0.2", 1), "a", True, 8, started_ms=2000)
 
-    def test_the_start_before_is_gone_with_all_that_was_kept_of_it(self) -> None:
-        """An engine crashes and registers again before its old record lapses.
-
-        Its adapters, connections, lateness and crashes were those of the process
-        before. Kept for the new one, requests went to adapters that it does not hold.
-        """
+    def test_a_new_start_removes_the_previous_one(self) -> None:
+        """Guards against applying state of the previous process to the new one."""
         view, changes = _view()
         view.on_record("e", self.OLD)
         assert view.on_record("e", self.NEW)
         assert list(view.record_by_id) == [self.NEW.endpoint_id]
-        gone, came = changes[1:]
-        assert (gone.endpoint_id, gone.record) == (self.OLD.endpoint_id, None)
-        assert (came.record, came.was_ready) == (self.NEW, False)
+        removed, added = changes[1:]
+        assert (removed.endpoint_id, removed.record) == (self.OLD.endpoint_id, None)
+        assert (added.record, added.was_ready) == (self.NEW, False)
 
     def test_a_record_of_an_earlier_start_changes_nothing(self) -> None:
-        """A slow write of the old process is carried out after the new one's record."""
+        """Guards against a late write of the previous process."""
         view, _ = _view()
         view.on_record("e", self.NEW)
         assert not view.on_record("e", self.OLD)
         assert not view.on_record("e", replace(self.OLD, started_ms=None))
         assert view.ready("llm") == [self.NEW]
 
-    def test_its_removal_takes_the_start_that_is_known(self) -> None:
+    def test_a_removal_applies_to_the_known_start(self) -> None:
         view, _ = _view()
         view.on_record("e", self.OLD)
         view.on_record("e", self.NEW)
         view.on_record("e", None)
         assert not view.record_by_id
 
-    def test_its_own_word_counts_before_its_record(self) -> None:
+    def test_a_reported_restart_counts_before_the_record(self) -> None:
         view, _ = _view()
         held = (LoadedModel("base", 1, {"a1": 1}),)
         view.on_record("e", replace(self.OLD, models=held))
@@ -737,8 +698,8 @@
         view.on_record("e", self.NEW)
         assert view.ready("llm") == [self.NEW]
 
-    def test_an_unreadable_record_stops_new_work_until_the_next_good_one(self) -> None:
-        """Somebody else overwrites an endpoint's record with bytes nobody can read."""
+    def test_an_unreadable_record_stops_new_work_until_the_next_valid_one(self) -> None:
+        """Guards against new work for an endpoint whose record was overwritten."""
         view, _ = _view()
         other = replace(self.NEW, registered_id="f")
         view.on_record("e", self.OLD)
@@ -750,10 +711,10 @@
         assert len(view.ready("llm")) == 2
 
 
-class TestNews:
-    """Reads of the store shared between VMs."""
+class TestSharedReads:
+    """Reads of the store whose results VMs share."""
 
-    def test_news_replaces_reading(self) -> None:
+    def test_rows_of_peers_replace_reads(self) -> None:
         async def test() -> None:
             store = ScriptedStore()
             seen: list[int] = []
@@ -767,11 +728,8 @@
 
         run(test())
 
-    def test_news_with_a_gap_before_it_is_not_taken(self) -> None:
-        """A VM missed a notice; the next one begins behind what it has.
-
-        Taken, a leaving endpoint named in between would get new work for ever.
-        """
+    def test_rows_after_a_gap_are_not_applied(self) -> None:
+        """Guards against skipping changes in a message that was lost."""
 
         async def test() -> None:
             seen: list[int] = []
@@ -784,18 +742,13 @@
 
         run(test())
 
-    def test_a_reader_passes_on_what_another_reader_found_as_well(self) -> None:
-        """Two VMs read the same records at the same time and hear of each other's.
-
-        If one took the other's news during its own read, its news would leave the
-        change out; VMs that hear it first would skip the other's as old. An engine
-        that came at that moment would get no request all day.
-        """
+    def test_a_change_received_during_an_own_read_is_passed_on(self) -> None:
+        """Guards against a change that neither of two readers passes on."""
 
         async def test() -> None:
             known: set[int] = set()
 
-            def take(record: KeyedRecord) -> bool:
+            def apply(record: KeyedRecord) -> bool:
                 fresh = record.offset not in known
                 known.add(record.offset)
                 return fresh
@@ -805,7 +758,7 @@
                 "t",
                 store,  # type: ignore[arg-type]
                 Journal("me", logging.getLogger("none")),
-                on_record=take,
+                on_record=apply,
                 wait_s=0.0,
                 pause_s=lambda: 0.0,
             )
@@ -822,7 +775,7 @@
 
 
 class SlowStore(ScriptedStore):
-    """A topic whose reads wait until they are let go."""
+    """A topic whose reads wait for ``go``."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/test_gateway_settings.py
+++ b/tests/test_gateway_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process changes while it runs."""
+"""Tests of settings that change while the process runs."""
 
 import json
 import logging
@@ -19,7 +19,7 @@
 
 
 class ChangingFile:
-    """A settings file and a VM that watches it."""
+    """A settings file and a VM that polls it."""
 
     def __init__(self) -> None:
         self.document = node_document(("127.0.0.1", 1), "vm")
@@ -40,15 +40,15 @@
 
 
 class TestSettingsWatch:
-    """What a VM does with a changed file."""
+    """Handling of a changed settings file."""
 
     def test_an_unchanged_file_changes_nothing(self) -> None:
         file = ChangingFile()
         file.watch.poll()
         assert file.changes == []
 
-    def test_changed_bounds_come_into_force(self) -> None:
-        """An operator lowers the retry budget; the old one would still be spent."""
+    def test_changed_bounds_are_applied(self) -> None:
+        """Guards against spending a retry budget that was lowered."""
         file = ChangingFile()
         share = file.state.share_of("booking")
         file.document["bounds"]["retry-burst"] = 4
@@ -59,11 +59,8 @@
         assert file.state.node.bounds.retry_burst == 4
         assert share.allowed() <= 4
 
-    def test_a_malformed_file_keeps_the_last_good_settings(self) -> None:
-        """The file is read while it is being written, or has a slip in it.
-
-        A VM that took it would serve with bounds of zero, or end.
-        """
+    def test_a_malformed_file_keeps_the_last_valid_settings(self) -> None:
+        """Guards against settings from a file that is incomplete or invalid."""
         file = ChangingFile()
         before = file.state.node
         file.findings = [Finding("bounds.grace-s", "must be a number")]
@@ -71,8 +68,8 @@
         assert file.state.node is before
         assert file.changes == []
 
-    def test_addresses_last_a_processs_life(self) -> None:
-        """A file names another port; callers and peers still know the old one."""
+    def test_addresses_do_not_change_while_the_process_runs(self) -> None:
+        """Guards against a changed port, as callers and peers know only the old one."""
         file = ChangingFile()
         callers = file.state.node.callers
         file.document["listen"]["front"] = "127.0.0.9:1"
@@ -83,7 +80,7 @@
 
 
 def _toml_lines(document: dict[str, Any]) -> list[str]:
-    """Write a settings file; JSON's values are TOML's where nothing is missing."""
+    """Return the lines of a TOML file; its values are written as JSON."""
     tables = {key: value for key, value in document.items() if isinstance(value, dict)}
     plain = {key: value for key, value in document.items() if key not in tables}
     lines = [f"{key} = {json.dumps(value)}" for key, value in plain.items()]
@@ -93,11 +90,11 @@
     return lines
 
 
-class TestWithout:
-    """Mechanisms that are left out for an experiment."""
+class TestWithoutOption:
+    """The option that disables mechanisms for an experiment."""
 
-    def test_a_name_that_is_none_ends_the_process(self, tmp_path: Path) -> None:
-        """A misspelt name would run an experiment that leaves nothing out."""
+    def test_an_unknown_mechanism_ends_the_process(self, tmp_path: Path) -> None:
+        """Guards against a misspelt name, with which nothing would be disabled."""
         file = tmp_path / "node.toml"
         document = node_document(("127.0.0.1", 1), "entry-0")
         file.write_text("\n".join(_toml_lines(document)))
--- a/tests/test_gateway_stall_records.py
+++ b/tests/test_gateway_stall_records.py
@@ -1,4 +1,4 @@
-"""What is kept in the store about pools of engines."""
+"""Tests of the stall records of engine pools in the store."""
 
 import json
 import logging
@@ -11,23 +11,25 @@
 from tests.gateway_site import eventually, run, running_site
 
 
-class KeepingStore:
-    """Keeps what is written, or fails."""
+class RecordingStore:
+    """A store that records what is written, or fails."""
 
     def __init__(self) -> None:
         self.puts: list[tuple[str, bytes]] = []
         self.down = False
 
     async def put(self, topic: str, key: str, value: bytes) -> None:
-        """Keep one record."""
+        """Record a write."""
         if self.down:
             raise StoreError("down")
         self.puts.append((key, value))
 
 
-def notes(store: KeepingStore, noted: list[str], name: str = "me") -> StallRecords:
+def make_records(
+    store: RecordingStore, stalled: list[str], name: str = "me"
+) -> StallRecords:
     journal = Journal(name, logging.getLogger("none"))
-    return StallRecords(name, "t", store, journal, noted.append)  # type: ignore[arg-type]
+    return StallRecords(name, "t", store, journal, stalled.append)  # type: ignore[arg-type]
 
 
 def record(value: Any) -> KeyedRecord:
@@ -35,74 +37,67 @@
     return KeyedRecord(f"{KEY_PREFIX}llm", source, 1)
 
 
-class TestPoolNotes:
-    """Written when the belief changes, by one VM."""
+class TestStallRecords:
+    """Written by one VM when the state of a pool changes."""
 
-    def test_a_pool_that_is_held_up_is_noted_once(self) -> None:
+    def test_a_stalled_pool_is_recorded_once(self) -> None:
         async def test() -> None:
-            store = KeepingStore()
-            kept = notes(store, [])
+            store = RecordingStore()
+            records = make_records(store, [])
             for now in (0.0, 1.0, 10.0):
-                await kept.write_changes({"llm": True}, {"me"}, now)
+                await records.write_changes({"llm": True}, {"me"}, now)
             assert store.puts == [("pool:llm", b'{"held_up": true}')]
 
         run(test())
 
-    def test_a_vm_that_has_just_started_does_not_take_it_back(self) -> None:
-        """A VM starts, reads that the pool is held up, and knows no engine yet.
-
-        Were it to write what it sees, the next restart of all would begin unpaced.
-        """
+    def test_a_vm_that_has_just_started_does_not_clear_a_record(self) -> None:
+        """Guards against clearing a record before the engines' status is known."""
 
         async def test() -> None:
-            store = KeepingStore()
-            noted: list[str] = []
-            kept = notes(store, noted)
-            assert kept.apply(record({"held_up": True}))
-            assert noted == ["llm"] and kept.is_stalled("llm")
-            await kept.write_changes({"llm": False}, {"me"}, 0.0)
-            await kept.write_changes({"llm": True}, {"me"}, 3.0)
-            await kept.write_changes({"llm": False}, {"me"}, CLEAR_AFTER_S - 1.0)
+            store = RecordingStore()
+            stalled: list[str] = []
+            records = make_records(store, stalled)
+            assert records.apply(record({"held_up": True}))
+            assert stalled == ["llm"] and records.is_stalled("llm")
+            await records.write_changes({"llm": False}, {"me"}, 0.0)
+            await records.write_changes({"llm": True}, {"me"}, 3.0)
+            await records.write_changes({"llm": False}, {"me"}, CLEAR_AFTER_S - 1.0)
             assert store.puts == []
-            await kept.write_changes({"llm": False}, {"me"}, 2 * CLEAR_AFTER_S)
+            await records.write_changes({"llm": False}, {"me"}, 2 * CLEAR_AFTER_S)
             assert store.puts == [("pool:llm", b'{"held_up": false}')]
 
         run(test())
 
-    def test_an_outage_of_the_store_ends_nothing(self) -> None:
+    def test_a_stall_remains_known_in_a_store_outage(self) -> None:
         async def test() -> None:
-            store = KeepingStore()
+            store = RecordingStore()
             store.down = True
-            kept = notes(store, [])
-            await kept.write_changes({"llm": True}, {"me"}, 0.0)
-            assert kept.is_stalled("llm")
+            records = make_records(store, [])
+            await records.write_changes({"llm": True}, {"me"}, 0.0)
+            assert records.is_stalled("llm")
 
         run(test())
 
-    def test_a_malformed_note_is_passed_over(self) -> None:
-        kept = notes(KeepingStore(), [])
+    def test_a_malformed_record_is_ignored(self) -> None:
+        records = make_records(RecordingStore(), [])
         for value in (b"\xff", 7, {"held": 1}, None):
-            assert kept.apply(record(value))
-        assert not kept.is_stalled("llm")
-        assert not kept.apply(KeyedRecord("entry-1", b"[]", 1))
+            assert records.apply(record(value))
+        assert not records.is_stalled("llm")
+        assert not records.apply(KeyedRecord("entry-1", b"[]", 1))
 
 
 class TestRestartOfAll:
-    """All VMs go at once and come back."""
+    """A restart of all VMs at once."""
 
     def test_engines_are_paced_from_the_first_request_on(self) -> None:
-        """Streams of a pool pause too long, then every VM is killed and restarted.
-
-        Knowing nothing the new owners would send prompt upon prompt until enough
-        streams were late again.
-        """
+        """Guards against stream stalls until the restarted VMs detect them again."""
 
         async def test() -> None:
             async with running_site(vms=2, runners=2) as site:
                 for item in site.owned().values():
                     for owner in item.vm._engines.owner_by_engine.values():
                         owner.places.pacing.evidence.assume(0.0)
-                await eventually(lambda: _has_note(site))
+                await eventually(lambda: _is_recorded(site))
                 for item in site.vms:
                     item.task.cancel()
                     await item.vm.close()
@@ -114,7 +109,7 @@
         run(test())
 
 
-def _has_note(site: Any) -> bool:
+def _is_recorded(site: Any) -> bool:
     return any(item.journal.of("pool_note") for item in site.vms)
 
 
@@ -128,9 +123,9 @@
 
 
 class TestAssumption:
-    """What a new owner begins with."""
+    """The assumption of stalls with which a new owner starts."""
 
-    def test_it_is_forgotten_where_no_stream_is_held_up(self) -> None:
+    def test_it_expires_if_no_stream_stalls(self) -> None:
         evidence = PauseEvidence()
         evidence.assume(5000.0)
         assert evidence.is_held_up()
@@ -138,12 +133,8 @@
             evidence.on_stream(5000.0 + number * 0.1)
         assert not evidence.is_held_up()
 
-    def test_the_first_streams_do_not_end_it(self) -> None:
-        """All VMs restart; the clocks of their processes show thousands of seconds.
-
-        Counted as seen at second 0, the assumption had faded away with the first
-        stream, and the crowd of returning callers met engines without pacing.
-        """
+    def test_it_does_not_expire_with_the_first_streams(self) -> None:
+        """Guards against an assumption that expires at once on a process's clock."""
         evidence = PauseEvidence()
         evidence.assume(97_766.0)
         for number in range(20):
