--- a/tests/gateway_site.py
+++ b/tests/gateway_site.py
@@ -213,9 +213,7 @@
     """Wait until a condition holds; fail after the timeout."""
     deadline = asyncio.get_running_loop().time() + timeout_s
     while not condition():
-        assert asyncio.get_running_loop().time() < deadline, (
-            "timed out"
-        )
+        assert asyncio.get_running_loop().time() < deadline, "timed out"
         await asyncio.sleep(0.02)
 
 
--- a/tests/owner_play.py
+++ b/tests/owner_simulation.py
@@ -1,8 +1,7 @@
-"""Plays one engine and its owner in virtual time, with orders lost, late and repeated.
+"""Simulation of an engine and its owner in virtual time, with faults of orders.
 
-The owner is the real one; the engine is a model of what the users' platform says of
-engines: orders by expected number, adapters in transit, unloads that wait for runs,
-reports that are some 100 ms old.
+The owner is the real one. The engine is simulated after the platform: orders with an
+expected number, loads that take time, unloads that wait for runs, delayed reports.
 """
 
 import asyncio
@@ -34,26 +33,31 @@
 from tests.gateway_site import RecordedJournal
 
 BASE = "base"
-AT_ONCE = 4
-"""Adapters in transit to an engine at the same time."""
+MAX_LOADS = 4
+"""Adapters that an engine loads at the same time."""
 ANSWER_S = 0.004
-PATIENCE_S = 0.05
+ORDER_TIMEOUT_S = 0.05
 
 
 @dataclass(frozen=True)
-class Trouble:
-    """How the engine and the way to it behave; shares are 0 to 1, times seconds."""
+class Faults:
+    """Behaviour of the engine and the network; shares are 0 to 1, times in seconds.
+
+    ``lost`` is the share of orders without an answer, ``late`` of those carried out
+    late, ``denied`` of times at which no order may be sent. An engine confirms orders
+    already in effect before checking their number if ``holds_before_number``.
+    """
 
     lost: float = 0.25
     late: float = 0.25
-    no_leave: float = 0.1
+    denied: float = 0.1
     cold_load_s: tuple[float, float] = (0.1, 0.6)
     report_age_s: tuple[float, float] = (0.05, 0.3)
     holds_before_number: bool = False
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time passes only while nothing is left to do."""
+    """An event loop whose time passes only while it is idle."""
 
     def __init__(self) -> None:
         super().__init__(_JumpingSelector(self))
@@ -81,11 +85,11 @@
 
 
 @dataclass
-class ModelEngine:
-    """An engine; ``overfilled`` are the loads that it had no slot for."""
+class SimulatedEngine:
+    """A simulated engine; ``overfilled`` are the loads without a free slot."""
 
     rng: random.Random
-    trouble: Trouble
+    faults: Faults
     slots: int
     overfilled: list[str] = field(default_factory=list)
     orders: int = 0
@@ -93,26 +97,26 @@
     coming: dict[AdapterKey, int] = field(default_factory=dict)
     runs: dict[str, AdapterKey] = field(default_factory=dict)
     newest: dict[AdapterKey, int] = field(default_factory=dict)
-    _waiting_unload: AdapterKey | None = None
+    _pending_unload: AdapterKey | None = None
     _history: list[_Snapshot] = field(default_factory=list)
     _recent: list[AdapterKey] = field(default_factory=list)
-    _seen_at: float = 0.0
+    _reported_at: float = 0.0
 
     def now(self) -> float:
-        """Return the loop's time."""
+        """Return the event loop's time in seconds."""
         return asyncio.get_running_loop().time()
 
     # Calls.
 
     async def report(self, record: EndpointRecord) -> EngineReport:
-        """Return a report as it stood a while ago."""
+        """Return a report of some time ago."""
         await asyncio.sleep(ANSWER_S)
-        if self.rng.random() < self.trouble.lost / 4:
+        if self.rng.random() < self.faults.lost / 4:
             raise EngineCallFailed("no answer")
-        age_s = self.rng.uniform(*self.trouble.report_age_s)
-        self._seen_at = max(self._seen_at, self.now() - age_s)
-        self._note()
-        older = [item for item in self._history if item.at <= self._seen_at]
+        age_s = self.rng.uniform(*self.faults.report_age_s)
+        self._reported_at = max(self._reported_at, self.now() - age_s)
+        self._record_report()
+        older = [item for item in self._history if item.at <= self._reported_at]
         return (older[-1] if older else self._history[0]).report
 
     async def order(
@@ -123,43 +127,43 @@
         expected_orders: int | None,
         lost: int = 0,
     ) -> OrderOutcome:
-        """Carry an order out, perhaps late, perhaps without an answer."""
+        """Carry out an order, maybe late or without an answer."""
         loop = asyncio.get_running_loop()
-        if self.rng.random() < self.trouble.late:
+        if self.rng.random() < self.faults.late:
             late_s = self.rng.uniform(0.06, 12.0)
             loop.call_later(late_s, self._carry_out, order, expected_orders)
-            await asyncio.sleep(PATIENCE_S * 2**lost)
+            await asyncio.sleep(ORDER_TIMEOUT_S * 2**lost)
             return OrderOutcome.UNKNOWN
         await asyncio.sleep(ANSWER_S / 2)
         outcome = self._carry_out(order, expected_orders)
-        if self.rng.random() < self.trouble.lost:
-            await asyncio.sleep(PATIENCE_S * 2**lost)
+        if self.rng.random() < self.faults.lost:
+            await asyncio.sleep(ORDER_TIMEOUT_S * 2**lost)
             return OrderOutcome.UNKNOWN
         await asyncio.sleep(ANSWER_S / 2)
         return outcome
 
     def may_run(self, key: AdapterKey, version: int) -> bool:
-        """Tell whether a run may begin."""
+        """Return whether a run may start."""
         return self.version_by_key.get(key) == version
 
     def end(self, run: str) -> None:
         """End a run."""
         self.runs.pop(run, None)
-        self._end_waiting_unload()
-        self._note()
+        self._end_pending_unload()
+        self._record_report()
 
     # Orders.
 
     def _carry_out(self, order: EngineOrder, expected: int | None) -> OrderOutcome:
         key = (order.model, order.adapter or "")
-        if self.trouble.holds_before_number and self._holds(order, key):
+        if self.faults.holds_before_number and self._holds(order, key):
             return OrderOutcome.HOLDS
-        if expected != self.orders or self._waiting_unload is not None:
+        if expected != self.orders or self._pending_unload is not None:
             return OrderOutcome.CONFLICT
         if self._holds(order, key):
             return OrderOutcome.HOLDS
         outcome = self._load(key) if order.load else self._unload(key)
-        self._note()
+        self._record_report()
         return outcome
 
     def _holds(self, order: EngineOrder, key: AdapterKey) -> bool:
@@ -169,43 +173,43 @@
         return max(self.version_by_key.get(key, 0), self.coming.get(key, 0)) >= wanted
 
     def _load(self, key: AdapterKey) -> OrderOutcome:
-        if len(self.coming) >= AT_ONCE:
+        if len(self.coming) >= MAX_LOADS:
             return OrderOutcome.CONFLICT
         self.orders += 1
         self.coming[key] = self.newest.get(key, 1)
         if len(self.version_by_key.keys() | self.coming.keys()) > self.slots:
             self.overfilled.append(f"{key[1]} at {self.now():.3f}")
-        cold_s = self.rng.uniform(*self.trouble.cold_load_s)
+        cold_s = self.rng.uniform(*self.faults.cold_load_s)
         load_s = cold_s / 10 if key in self._recent else cold_s
-        asyncio.get_running_loop().call_later(load_s, self._arrive, key)
+        asyncio.get_running_loop().call_later(load_s, self._end_load, key)
         return OrderOutcome.ACCEPTED
 
-    def _arrive(self, key: AdapterKey) -> None:
-        """End a load; a replacement waits for the runs of the version before."""
+    def _end_load(self, key: AdapterKey) -> None:
+        """End a load; a new version waits for the runs of the previous one."""
         if key not in self.coming:
             return
         if key in self.runs.values():
-            asyncio.get_running_loop().call_later(0.05, self._arrive, key)
+            asyncio.get_running_loop().call_later(0.05, self._end_load, key)
             return
         self.version_by_key[key] = self.coming.pop(key)
         self._recent = [*(k for k in self._recent if k != key), key][-30:]
-        self._note()
+        self._record_report()
 
     def _unload(self, key: AdapterKey) -> OrderOutcome:
         self.orders += 1
         if key in self.runs.values():
-            self._waiting_unload = key
+            self._pending_unload = key
             return OrderOutcome.ACCEPTED
         del self.version_by_key[key]
         return OrderOutcome.HOLDS
 
-    def _end_waiting_unload(self) -> None:
-        key = self._waiting_unload
+    def _end_pending_unload(self) -> None:
+        key = self._pending_unload
         if key is not None and key not in self.runs.values():
-            self._waiting_unload = None
+            self._pending_unload = None
             self.version_by_key.pop(key, None)
 
-    def _note(self) -> None:
+    def _record_report(self) -> None:
         report = EngineReport(
             models=(LoadedModel(BASE, 1, _by_name(self.version_by_key)),),
             loading=frozenset(self.coming),
@@ -223,30 +227,30 @@
     return {name: version for (_, name), version in version_by_key.items()}
 
 
-class OwnerPlay:
-    """Requests for many adapters at one engine whose owner now and then is anew."""
+class OwnerSimulation:
+    """Requests for many adapters at one engine whose owner changes occasionally."""
 
-    def __init__(self, seed: int, trouble: Trouble, slots: int = 6) -> None:
+    def __init__(self, seed: int, faults: Faults, slots: int = 6) -> None:
         self.rng = random.Random(seed)
-        self.engine = ModelEngine(self.rng, trouble, slots)
+        self.engine = SimulatedEngine(self.rng, faults, slots)
         self.served = 0
         self.refused_by_engine = 0
         self.journal = RecordedJournal("owner")
-        self._trouble = trouble
+        self._faults = faults
         self._fence = 1
         self._held_by_ask: dict[str, PlaceHeld] = {}
-        self._no_leave_until = 0.0
+        self._denied_until = 0.0
         self._asks = itertools.count()
         self._record = EndpointRecord("e", "llm", ("10.0.0.1", 1), "a", True, 16)
         self._capacity = EngineCapacity(16, 1_000_000, slots, (BASE,))
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, seconds: float, per_s: float = 25.0) -> None:
-        """Play a load for a while."""
+        """Simulate a load for a while."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
-        self.engine._note()
-        self._begin_owner()
+        self.engine._record_report()
+        self._start_owner()
         while loop.time() < end and not self.engine.overfilled:
             await asyncio.sleep(self.rng.expovariate(per_s))
             self._spawn(self._request())
@@ -254,20 +258,20 @@
             if draw < 0.002:
                 self._change_owner()
             elif draw < 0.01:
-                self._name_version()
-            elif draw < 0.01 + self._trouble.no_leave / 5:
-                self._no_leave_until = loop.time() + self.rng.uniform(0.0, 0.4)
+                self._publish_version()
+            elif draw < 0.01 + self._faults.denied / 5:
+                self._denied_until = loop.time() + self.rng.uniform(0.0, 0.4)
         self._owner.stop()
         for task in list(self._tasks):
             task.cancel()
 
-    def _begin_owner(self) -> None:
+    def _start_owner(self) -> None:
         loop = asyncio.get_running_loop()
         context = OwnerContext(
             calls=self.engine,  # type: ignore[arg-type]
             journal=self.journal,
             now=loop.time,
-            may_order=lambda engine_id: loop.time() >= self._no_leave_until,
+            may_order=lambda engine_id: loop.time() >= self._denied_until,
             fence=lambda engine_id: self._fence,
             on_fenced=lambda record, token: None,
             on_restart=lambda record, started_ms: None,
@@ -279,19 +283,19 @@
         self._owner.start()
 
     def _change_owner(self) -> None:
-        """Let another task own the engine; it is told of the runs a moment later."""
+        """Replace the owner; the new one is notified of the runs a moment later."""
         self._owner.stop()
         self._fence += 1
-        self._begin_owner()
+        self._start_owner()
         loop = asyncio.get_running_loop()
         for held in self._held_by_ask.values():
-            loop.call_later(self.rng.uniform(0.0, 0.25), self._tell_held, held)
+            loop.call_later(self.rng.uniform(0.0, 0.25), self._notify_held, held)
 
-    def _tell_held(self, held: PlaceHeld) -> None:
+    def _notify_held(self, held: PlaceHeld) -> None:
         if held.ask_id in self._held_by_ask:
             self._owner.on_held("vm", held)
 
-    def _name_version(self) -> None:
+    def _publish_version(self) -> None:
         name = self._adapter()
         version = self.engine.newest.get((BASE, name), 1) + 1
         self.engine.newest[BASE, name] = version
@@ -340,12 +344,12 @@
         answer.set_result(reply)
 
 
-def play(seed: int, trouble: Trouble, seconds: float = 60.0) -> OwnerPlay:
-    """Play one seed; return what came of it."""
+def simulate(seed: int, faults: Faults, seconds: float = 60.0) -> OwnerSimulation:
+    """Run the simulation of one seed and return it."""
     loop = VirtualLoop()
     try:
-        played = OwnerPlay(seed, trouble)
-        loop.run_until_complete(played.run(seconds))
-        return played
+        simulation = OwnerSimulation(seed, faults)
+        loop.run_until_complete(simulation.run(seconds))
+        return simulation
     finally:
         loop.close()
--- a/tests/test_gateway_orders.py
+++ b/tests/test_gateway_orders.py
@@ -9,12 +9,12 @@
 from bamboovale.gateway.model import EndpointRecord, EngineOrder, OrderOutcome
 from bamboovale.gateway.order_sender import OrderSender
 from tests.gateway_site import RecordedJournal
-from tests.owner_play import Trouble, play
+from tests.owner_simulation import Faults, simulate
 
 RECORD = EndpointRecord("e", "llm", ("10.0.0.1", 1), "a", True, 8)
 LOAD = OrderLoad("base", "a1", 1)
-FAULTY = Trouble(lost=0.35, late=0.35)
-FAULTY_AND_LENIENT = Trouble(lost=0.35, late=0.35, holds_before_number=True)
+FAULTY = Faults(lost=0.35, late=0.35)
+FAULTY_AND_LENIENT = Faults(lost=0.35, late=0.35, holds_before_number=True)
 SECONDS = 30.0
 
 
@@ -77,13 +77,13 @@
     @pytest.mark.parametrize("seed", [5, 13, 46])
     def test_lost_and_late_orders_never_overfill_an_engine(self, seed: int) -> None:
         """Guards against a retry that expects a number from a newer report."""
-        played = play(seed, FAULTY, SECONDS)
-        assert played.engine.overfilled == []
-        assert played.served > 300
+        simulation = simulate(seed, FAULTY, SECONDS)
+        assert simulation.engine.overfilled == []
+        assert simulation.served > 300
 
     @pytest.mark.parametrize("seed", [2, 27, 40, 89, 94])
     def test_nor_an_engine_that_checks_the_number_last(self, seed: int) -> None:
         """Guards against the same at an engine that confirms fulfilled orders first."""
-        played = play(seed, FAULTY_AND_LENIENT, SECONDS)
-        assert played.engine.overfilled == []
-        assert played.served > 300
+        simulation = simulate(seed, FAULTY_AND_LENIENT, SECONDS)
+        assert simulation.engine.overfilled == []
+        assert simulation.served > 300
