--- a/bamboovale/gateway/endpoint_client.py
+++ b/bamboovale/gateway/endpoint_client.py
@@ -20,7 +20,7 @@
 class NotRun(Exception):  # noqa: N818 - reads as what happened
     """The endpoint did not run the request, or was never reached.
 
-    ``reached`` tells whether the request arrived there, which counts as a retry.
+    ``reached`` is whether the request arrived there, which counts as an attempt.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
                 parts.append(data)
                 size += len(data)
                 if size > MAX_BUFFERED_BYTES:
-                    raise MayHaveRun("the answer is too large")
+                    raise MayHaveRun("the answer exceeds the size limit")
         except AnswerBroken as error:
             raise MayHaveRun(f"answer cut: {error}") from error
         return b"".join(parts)
@@ -101,7 +101,7 @@
         Raises NotRun or MayHaveRun.
         """
         if connection.closed:
-            raise NotRun("the connection ended unused", reached=False)
+            raise NotRun("the connection was closed before use", reached=False)
         connection.send(request, body)
         try:
             facts = await self._own_head(connection, request_id)
@@ -111,13 +111,13 @@
         if facts.not_run:
             await attempt.read_body()
             raise NotRun(
-                f"endpoint said {facts.status}",
+                f"endpoint answered {facts.status} without running the request",
                 reached=True,
                 wrong_endpoint=facts.wrong_endpoint,
                 retry_after_s=facts.retry_after_s,
             )
         if not facts.signed:
-            raise MayHaveRun(f"{facts.status} without signature")
+            raise MayHaveRun(f"answer {facts.status} has no signature")
         return attempt
 
     @contextmanager
@@ -141,4 +141,4 @@
                 pass
             if not connection.skip_answer():
                 break
-        raise AnswerBroken("answers of other requests")
+        raise AnswerBroken("only answers to other requests were received")
--- a/bamboovale/gateway/engine_assignment.py
+++ b/bamboovale/gateway/engine_assignment.py
@@ -15,7 +15,7 @@
 
 STALL_CHECK_INTERVAL_S = 1.0
 """Interval of checks whether a stall record must be written."""
-STORE_OUTAGE_S = 1.5
+MIN_STORE_OUTAGE_S = 1.5
 """A shorter store outage ends before any lease expires."""
 
 
@@ -133,7 +133,7 @@
         load adapters because their owner died in a store outage.
         """
         if (
-            self._ownership.store_unreachable_s() < STORE_OUTAGE_S
+            self._ownership.store_unreachable_s() < MIN_STORE_OUTAGE_S
             or store_answers_others
         ):
             return False
--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -234,9 +234,9 @@
         self._schedule_decision(self._context.now())
 
     def _reply(self, ask: PlaceAsk, reply: PlaceReply) -> None:
-        waiting = self._reply_by_ask.pop(ask.ask_id, None)
-        if waiting is not None:
-            waiting(reply)
+        send_reply = self._reply_by_ask.pop(ask.ask_id, None)
+        if send_reply is not None:
+            send_reply(reply)
 
     def _refuse(self, refusal: Refuse) -> None:
         self._context.journal.write(
@@ -257,27 +257,27 @@
 
     async def _order(self, action: OrderLoad | OrderUnload) -> None:
         """Send an order and apply its outcome."""
-        end = await self._orders.send(action)
+        result = await self._orders.send(action)
         now = self._context.now()
-        if end.is_done:
-            at_once = end.outcome is OrderOutcome.HOLDS
+        if result.is_done:
+            at_once = result.outcome is OrderOutcome.HOLDS
             actions = self.places.on_order_done(action, now, at_once=at_once)
             self._carry_out(actions)
             self._poll_at_load_end(now)
             return
-        if end.outcome is OrderOutcome.GONE:
+        if result.outcome is OrderOutcome.GONE:
             self._on_engine_unreachable()
-        self.places.on_order_failed(action, certain=end.is_certain)
-        if end.outcome is not None:
+        self.places.on_order_failed(action, certain=result.is_certain)
+        if result.outcome is not None:
             self._poll_by(now + CONFLICT_POLL_DELAY_S)
 
     # Reports.
 
     async def _poll_forever(self) -> None:
         while True:
-            seen = await self.poll()
+            succeeded = await self.poll()
             now = self._context.now()
-            self._next_poll_at = now + self._poll_interval_s(seen)
+            self._next_poll_at = now + self._poll_interval_s(succeeded)
             while (left := self._next_poll_at - self._context.now()) > 0:
                 self._wake.clear()
                 try:
@@ -286,8 +286,8 @@
                 except TimeoutError:
                     break
 
-    def _poll_interval_s(self, seen: bool) -> float:
-        if not seen:
+    def _poll_interval_s(self, succeeded: bool) -> float:
+        if not succeeded:
             return FAILED_POLL_INTERVAL_S
         if self.places.loads_model():
             return MODEL_LOADING_POLL_INTERVAL_S
@@ -297,9 +297,9 @@
 
     async def poll(self) -> bool:
         """Read and apply one report; returns False if there was none to apply."""
-        asked_at = self._context.now()
+        requested_at = self._context.now()
         try:
-            report = await self._context.calls.report(self.record)
+            report = await self._context.client.report(self.record)
         except EngineCallFailed as error:
             self._context.journal.write(
                 "report_failed",
@@ -315,7 +315,9 @@
         self._orders.on_report(report.orders)
         now = self._context.now()
         self.places.may_order = self._orders.may_order()
-        self._carry_out(self.places.on_facts(facts_from_report(report, asked_at), now))
+        self._carry_out(
+            self.places.on_facts(facts_from_report(report, requested_at), now)
+        )
         return True
 
     def _is_from_same_start(self, report: EngineReport) -> bool:
--- a/bamboovale/gateway/engines.py
+++ b/bamboovale/gateway/engines.py
@@ -88,7 +88,7 @@
 class Engines:
     """Known state of the engines by id, and messages to their owners.
 
-    Messages of this VM to itself are direct calls of ``owner_by_engine``.
+    Owners in this VM (``owner_by_engine``) are called directly.
     """
 
     own_id: str
@@ -132,7 +132,7 @@
         """Request a place from the engine's owner; raises OwnerUnavailable."""
         owner = self._owner_of(engine_id)
         if owner is None:
-            raise OwnerUnavailable("no owner")
+            raise OwnerUnavailable("the engine has no live owner")
         future = self._send_request(owner, request)
         # If the caller disconnects, the future remains without a consumer.
         future.add_done_callback(_ignore_result)
@@ -142,7 +142,7 @@
             self._cancel(owner, engine_id, request.ask_id)
             raise
         if reply.not_owner:
-            raise OwnerUnavailable("owned by another VM")
+            raise OwnerUnavailable("the VM no longer owns the engine")
         return reply
 
     def notify_started(self, place: GrantedPlace) -> None:
--- a/bamboovale/gateway/model_calls.py
+++ b/bamboovale/gateway/model_calls.py
@@ -75,7 +75,7 @@
                 raise progress.final_error("the retry budget is used up")
             if await self._try_engine(call, work, engine, place, progress):
                 return
-        raise progress.final_error("no engine took the request")
+        raise progress.final_error("no engine ran the request")
 
     # One engine.
 
@@ -179,7 +179,9 @@
         """Forward an answer that is not a stream, unless a stream was started."""
         body = await attempt.read_body()
         if progress.started:
-            raise StreamCut(f"engine said {attempt.facts.status}")
+            raise StreamCut(
+                f"engine answered {attempt.facts.status} after the stream started"
+            )
         call.notes["status"] = attempt.facts.status
         call.responder.answer(attempt.facts.status, attempt.facts.headers, body)
 
--- a/bamboovale/gateway/order_sender.py
+++ b/bamboovale/gateway/order_sender.py
@@ -121,7 +121,7 @@
             adapter=action.adapter,
             version=version or None,
         )
-        outcome = await self._context.calls.order(record, order, fence, expected, lost)
+        outcome = await self._context.client.order(record, order, fence, expected, lost)
         self._context.journal.write(
             "order",
             engine=record.endpoint_id,
--- a/bamboovale/gateway/owner_context.py
+++ b/bamboovale/gateway/owner_context.py
@@ -20,7 +20,7 @@
     whether prompt processing stalls the streams of many engines of a service.
     """
 
-    calls: EngineClient
+    client: EngineClient
     journal: Journal
     now: Callable[[], float]
     may_order: Callable[[str], bool]
--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -56,7 +56,7 @@
 with each change of an owner."""
 POLL_INTERVAL_S = 0.3
 """Interval at which gossip from other VMs is acted upon."""
-STORE_OUTAGE_S = 3.0
+MAX_STORE_SILENCE_S = 3.0
 """Time without an answer of the store to any VM before lost engines are taken over;
 guards against two owners of an engine."""
 MAX_IDS_IN_LOG = 12
@@ -197,7 +197,7 @@
             self._on_live_change()
             store_age_s = self._state.now() - self.exchange.store_answered_at
             if self._assignment.take_over_lost_engines(
-                store_answers_others=store_age_s <= STORE_OUTAGE_S
+                store_answers_others=store_age_s <= MAX_STORE_SILENCE_S
             ):
                 self.assign_engines()
             self._fetch_newer_table()
--- a/bamboovale/gateway/place_search.py
+++ b/bamboovale/gateway/place_search.py
@@ -161,7 +161,9 @@
         ]
         if not holders:
             call.notes["engines"] = len(views)
-            raise progress.final_error("no engine can load it now", NO_ENGINE_RETRY_S)
+            raise progress.final_error(
+                "no engine can load the adapter now", NO_ENGINE_RETRY_S
+            )
         chosen = min(holders, key=lambda name: views[name].run_cost_s())
         return self._endpoints.record_by_id[chosen], None
 
--- a/bamboovale/gateway/plain_calls.py
+++ b/bamboovale/gateway/plain_calls.py
@@ -85,7 +85,7 @@
             raise CallFailed(str(failure))
         if isinstance(failure, NotRun):
             raise CallRefused(str(failure), failure.retry_after_s or REFUSAL_RETRY_S)
-        raise CallRefused("no endpoint takes calls", REFUSAL_RETRY_S)
+        raise CallRefused("no endpoint accepts calls", REFUSAL_RETRY_S)
 
     async def _try_once(
         self,
--- a/bamboovale/gateway/vm.py
+++ b/bamboovale/gateway/vm.py
@@ -132,7 +132,7 @@
         )
         calls = self._metrics.gateway_engine_calls
         self._owner_context = OwnerContext(
-            calls=EngineClient(
+            client=EngineClient(
                 self._control_pool,
                 self._translation,
                 node.name,
--- a/tests/owner_simulation.py
+++ b/tests/owner_simulation.py
@@ -268,7 +268,7 @@
     def _start_owner(self) -> None:
         loop = asyncio.get_running_loop()
         context = OwnerContext(
-            calls=self.engine,  # type: ignore[arg-type]
+            client=self.engine,  # type: ignore[arg-type]
             journal=self.journal,
             now=loop.time,
             may_order=lambda engine_id: loop.time() >= self._denied_until,
--- a/tests/test_gateway_orders.py
+++ b/tests/test_gateway_orders.py
@@ -43,20 +43,20 @@
 
 def _expected_numbers(reported: int) -> list[int | None]:
     """Send an order that expects number 5; return the numbers of all attempts."""
-    calls = UnansweredCalls(reported)
+    client = UnansweredCalls(reported)
     context = SimpleNamespace(
-        calls=calls,
+        client=client,
         journal=RecordedJournal("owner"),
         fence=lambda engine_id: 1,
         may_order=lambda engine_id: True,
     )
     sender = OrderSender(lambda: RECORD, context, lambda: 1)  # type: ignore[arg-type]
-    calls.sender = sender
+    client.sender = sender
     sender.on_report(5)
     result = asyncio.run(sender.send(LOAD))
     assert not result.is_done
     assert not result.is_certain
-    return calls.expected
+    return client.expected
 
 
 class TestOrderRetries:
