--- a/tests/test_request_gate.py
+++ b/tests/test_request_gate.py
@@ -98,7 +98,7 @@
     def test_a_body_read_by_a_thread_is_bounded(
         self, address: tuple[str, int], monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(request_gate, "SLOWEST_BODY_BYTES_PER_S", 1 << 20)
+        monkeypatch.setattr(request_gate, "MIN_BODY_BYTES_PER_S", 1 << 20)
         head = HEAD + b"Content-Length: 100\r\nExpect: 100-continue\r\n\r\n"
         with silent_connections(address, 1, head) as slow:
             for _ in range(8):
