--- a/bamboovale/entry/__init__.py
+++ b/bamboovale/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry VM: callers in, permits, answers out."""
+"""The entry VM: takes requests of callers and runs them on engines and services."""
--- a/bamboovale/entry/administration.py
+++ b/bamboovale/entry/administration.py
@@ -1,4 +1,4 @@
-"""What the administration API does on this entry VM."""
+"""Implementation of the administration API on an entry VM."""
 
 import time
 from concurrent.futures import Future
@@ -21,8 +21,8 @@
 from bamboovale.peers.messages import RevisionAnswer, RevisionQuery
 from bamboovale.views import Views
 
-ASK_AGAIN_S = 0.1
-ASK_TIMEOUT_S = 1.0
+POLL_INTERVAL_S = 0.1
+QUERY_TIMEOUT_S = 1.0
 
 
 class Administration:
@@ -49,10 +49,10 @@
         return self._views.catalogue or Catalogue.empty().view()
 
     def submit(self, edit: Edit, timeout_s: float) -> Result[EditOutcome, Refusal]:
-        """Append an edit and wait until the fold has judged it here.
+        """Append an edit and wait until it is read back and accepted or rejected here.
 
-        An append without an answer may have taken effect: its outcome is awaited all
-        the same, and only the read-back tells.
+        An append without an answer may have taken effect, so its outcome is awaited
+        as well: only reading the record back shows it.
         """
         future: Future[EditOutcome] = Future()
         tell(self._keeper, AwaitOutcome(edit.edit_id, edit.digest(), future))
@@ -84,13 +84,13 @@
         return Ok(outcome)
 
     def in_force(self, revision: int, timeout_s: float) -> InForceReport:
-        """Ask every live entry VM until all have reached the revision."""
+        """Poll all live entry VMs until they reach the revision or time is up."""
         give_up_at = time.monotonic() + timeout_s
         while True:
-            report = self._ask_all(revision)
+            report = self._query_revisions(revision)
             if report.in_force or time.monotonic() >= give_up_at:
                 return report
-            time.sleep(ASK_AGAIN_S)
+            time.sleep(POLL_INTERVAL_S)
 
     def state(self) -> dict[str, Any]:
         """Return the state of this process."""
@@ -101,27 +101,27 @@
         return self._environment.metrics.expose()
 
     def ready(self) -> bool:
-        """Return whether this VM takes requests of callers."""
+        """Return whether this VM accepts requests of callers."""
         return self._views.serving and not self._views.draining
 
-    def _ask_all(self, revision: int) -> InForceReport:
-        """Ask all VMs at once.
+    def _query_revisions(self, revision: int) -> InForceReport:
+        """Query the revision of all entry VMs concurrently.
 
-        Listed VMs that are cut off count too: a caller may still reach them.
+        Includes listed VMs that are unreachable from here: callers may reach them.
         """
         own_id = self._environment.settings.id
         membership = self._views.membership
-        asked = {
-            vm.id: self._links.request(vm.id, RevisionQuery(), ASK_TIMEOUT_S)
+        future_by_vm = {
+            vm.id: self._links.request(vm.id, RevisionQuery(), QUERY_TIMEOUT_S)
             for vm in membership.listed_entry_vms()
             if vm.id != own_id and vm.id not in membership.draining_ids
         }
         revision_by_vm = {own_id: self.catalogue().revision}
         missing = []
-        for vm_id, future in asked.items():
+        for vm_id, future in future_by_vm.items():
             try:
-                answer = future.result(2 * ASK_TIMEOUT_S)
-            except Exception:  # any failure of a link means the same: no answer
+                answer = future.result(2 * QUERY_TIMEOUT_S)
+            except Exception:  # any failure of the link means no answer
                 missing.append(vm_id)
                 continue
             if isinstance(answer, RevisionAnswer):
--- a/bamboovale/entry/attempts.py
+++ b/bamboovale/entry/attempts.py
@@ -1,4 +1,4 @@
-"""What one model request has tried, and the refusals that end it."""
+"""State of a model request across its attempts, and the refusals that end it."""
 
 from dataclasses import dataclass, field
 
@@ -11,11 +11,11 @@
 
 
 class CallerDisconnectedError(Exception):
-    """The caller hung up: there is nobody to answer."""
+    """The caller disconnected: the request needs no answer."""
 
 
 class FinalRefusalError(Exception):
-    """The request gets this final answer."""
+    """Ends the request with ``refusal`` as its answer."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.message)
@@ -24,10 +24,12 @@
 
 @dataclass
 class Attempts:
-    """What one request has tried so far.
+    """State of one request across its attempts.
 
-    ``unloadable`` is what an engine said that cannot load the adapter now;
-    ``unanswered`` tells that nobody could speak for some engine in this round.
+    ``excluded`` are the engines that are not tried again in this round.
+    ``load_refusal`` is the refusal of an engine that cannot load the adapter now.
+    ``holder_missing`` is set if some engine's lease holder did not answer in this
+    round. ``unstarted_runs`` counts permits whose run did not start.
     """
 
     request: CallerRequest
@@ -47,7 +49,7 @@
 
 
 def rejection(failed: RunFailedError) -> Refusal:
-    """Return the refusal of a request that the engine itself rejects."""
+    """Return the refusal of a request that the engine rejected with a 4xx status."""
     reason = failed.answer[:500].decode(errors="replace")
     return Refusal(
         ErrorCode.BAD_REQUEST,
@@ -57,7 +59,7 @@
 
 
 def outcome_unknown(failed: RunFailedError) -> Refusal:
-    """Return the refusal of a request that may have run and is not repeated."""
+    """Return the refusal of a request that may have run and must not be retried."""
     return Refusal(
         ErrorCode.OUTCOME_UNKNOWN,
         f"the request was sent and its answer is lost ({failed})",
@@ -66,7 +68,7 @@
 
 
 def endpoint_error(failed: RunFailedError) -> Refusal:
-    """Return the refusal of a request whose repeats are used up."""
+    """Return the refusal of a request that has no retries left."""
     return Refusal(
         ErrorCode.ENDPOINT_ERROR,
         f"the engine's answer is lost ({failed})",
--- a/bamboovale/entry/caller_answer.py
+++ b/bamboovale/entry/caller_answer.py
@@ -1,4 +1,4 @@
-"""How a request ended, as far as its answer says it to the caller."""
+"""An answer to a caller, its outcome, and clean-up after it was sent."""
 
 import json
 from collections.abc import Callable, Iterable, Iterator
@@ -12,17 +12,17 @@
 
 @dataclass
 class AnswerOutcome:
-    """Filled in while the answer is sent: a stream's end is known last."""
+    """Outcome of a request; updated while a stream is sent."""
 
     state: AnswerState = AnswerState.RUNNING
     code: str = "ok"
 
 
 class ChunksWithCleanup:
-    """Chunks of an answer whose end is acted on exactly once, however it comes.
+    """Chunks of an answer; calls ``on_close`` exactly once, however they end.
 
-    A generator that was never begun does not run its ``finally`` when it is closed: a
-    caller gone before the first chunk would leave a permit in use and a key claimed.
+    A generator that was never started does not run its ``finally`` when closed, so a
+    caller that disconnects before the first chunk would leave a permit in use.
     """
 
     def __init__(self, chunks: Iterable[bytes], on_close: Callable[[], None]) -> None:
@@ -40,7 +40,7 @@
             raise
 
     def close(self) -> None:
-        """End the chunks below, then act on the end."""
+        """Close the wrapped chunks, then call ``on_close``."""
         on_close, self._on_close = self._on_close, None
         if on_close is None:
             return
@@ -54,7 +54,7 @@
 
 @dataclass
 class CallerAnswer:
-    """An answer on its way to the caller; ``chunks`` may still be arriving."""
+    """An answer to a caller; ``chunks`` may still be streaming."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -68,7 +68,7 @@
         headers: list[tuple[str, str]],
         body: bytes,
     ) -> "CallerAnswer":
-        """Return an answer that has come to its end."""
+        """Return an answer with its complete body."""
         return cls(
             status,
             [*headers, ("Content-Length", str(len(body)))],
@@ -78,7 +78,7 @@
 
     @classmethod
     def refusal(cls, refusal: Refusal, request_id: str) -> "CallerAnswer":
-        """Return the JSON form of a refusal."""
+        """Return a refusal as an answer in JSON."""
         body = json.dumps(refusal.to_json(request_id)).encode()
         headers = [
             JSON_TYPE,
@@ -93,5 +93,5 @@
 
 
 def _whole_seconds(seconds: float) -> str:
-    """Return the value of a Retry-After header, rounded up; the body has fractions."""
+    """Return the value of a Retry-After header, rounded up to whole seconds."""
     return str(max(0, -int(-seconds // 1)))
--- a/bamboovale/entry/caller_app.py
+++ b/bamboovale/entry/caller_app.py
@@ -1,4 +1,4 @@
-"""The WSGI application of the callers' port."""
+"""The WSGI application on the callers' port."""
 
 import json
 import random
@@ -44,7 +44,7 @@
 
     @property
     def running(self) -> int:
-        """Return the requests that are being answered."""
+        """Return the number of requests being answered."""
         return self._running
 
     def __call__(
@@ -53,7 +53,7 @@
         start_response: StartResponse,
     ) -> Iterable[bytes]:
         """Answer one request (WSGI)."""
-        began = self._environment.now()
+        started_at = self._environment.now()
         self._count(1)
         try:
             answer = self._answer(environ)
@@ -65,9 +65,9 @@
             self._count(-1)
             metrics = self._environment.metrics
             metrics.requests.labels(outcome=answer.outcome.code).inc()
-            took_s = self._environment.now() - began
+            duration_s = self._environment.now() - started_at
             kind = _kind_of(environ.get("PATH_INFO", ""))
-            metrics.request_seconds.labels(kind=kind).observe(took_s)
+            metrics.request_seconds.labels(kind=kind).observe(duration_s)
 
         phrase = HTTPStatus(answer.status).phrase
         start_response(f"{answer.status} {phrase}", answer.headers)
@@ -82,7 +82,7 @@
         limit = self._environment.settings.max_body_bytes
         request = read_request(environ, limit, self._environment.now())
         if isinstance(request, Err):
-            # What is left of the body is not read: it may be endless.
+            # The rest of the body is not read: it may have any length.
             environ["bamboovale.close"]()
             return CallerAnswer.refusal(
                 request.err_value,
@@ -112,7 +112,7 @@
         return CallerAnswer.refusal(refusal, request.request_id)
 
     def _not_serving(self, environ: dict[str, Any]) -> Refusal | None:
-        """Refuse while this VM stops, or cannot vouch for what it knows."""
+        """Return a refusal while this VM stops or its catalogue may be outdated."""
         if self.closed:
             environ["bamboovale.close"]()
             return Refusal(
@@ -140,7 +140,7 @@
         return answer(request)
 
     def _entries(self, request: CallerRequest) -> CallerAnswer:
-        """Tell which entry VMs to use: the caller's failure domain first."""
+        """Return the entry VMs to use, those in the caller's failure domain first."""
         near = parse_qs(request.query).get("failure_domain", [""])[0]
         usable = self._views.membership.usable_entry_vms()
         own_id = self._environment.settings.id
@@ -158,14 +158,14 @@
 
 
 def _kind_of(path: str) -> str:
-    """Return the label of a request's time; paths of callers make no labels."""
+    """Return the ``kind`` label for a path, from a fixed set of values."""
     if path in MODEL_PATHS:
         return "model"
     return "service" if path.startswith(SERVICE_PREFIX) else "other"
 
 
 def _ordered(vms: list[VM], near: str) -> list[VM]:
-    """Spread callers over the VMs: a new order for each, near ones first."""
+    """Shuffle the VMs to spread the load, with those in ``near`` first."""
     shuffled = random.sample(vms, len(vms))
     return sorted(shuffled, key=lambda vm: vm.failure_domain != near)
 
--- a/bamboovale/entry/caller_app_factory.py
+++ b/bamboovale/entry/caller_app_factory.py
@@ -1,4 +1,4 @@
-"""Builds what answers callers from the parts of an entry VM."""
+"""Builds the callers' application from the components of an entry VM."""
 
 from dataclasses import dataclass
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class CallerAppDependencies:
-    """What model requests and plain calls need of the entry VM."""
+    """The components that model requests and service calls depend on."""
 
     environment: Environment
     views: Views
@@ -31,7 +31,7 @@
 
 
 def build_caller_app(parts: CallerAppDependencies) -> CallerApp:
-    """Return the application of the callers' port."""
+    """Return the WSGI application for the callers' port."""
     runs = ModelRuns(
         parts.environment,
         parts.views,
--- a/bamboovale/entry/caller_request.py
+++ b/bamboovale/entry/caller_request.py
@@ -1,4 +1,4 @@
-"""A caller's request as the entry VM reads it from HTTP."""
+"""Parsing and validation of callers' HTTP requests."""
 
 import hashlib
 import os
@@ -20,10 +20,10 @@
 
 @dataclass(frozen=True)
 class CallerRequest:
-    """One request with what its headers say about it.
+    """One request and its parsed headers.
 
     ``deadline_s`` is a duration from ``arrived_at``; None if the caller set none.
-    ``idempotent`` is None where the caller did not say.
+    ``idempotent`` is None if the caller did not set the header.
     """
 
     request_id: str
@@ -41,13 +41,13 @@
 
     @property
     def body_hash(self) -> str:
-        """Return the hash that tells a repeat from another request."""
+        """Return the hash that detects a key reused for a different request."""
         digest = hashlib.blake2b(self.body, digest_size=16)
         digest.update(f"{self.method} {self.path}?{self.query}".encode())
         return digest.hexdigest()
 
     def fingerprint(self, target: str) -> str:
-        """Return what a repeat of this request has in common with it."""
+        """Return a hash of caller, target and body, the same for a repeated request."""
         digest = hashlib.blake2b(self.body, digest_size=12)
         digest.update(f"{self.caller} {target}".encode())
         return digest.hexdigest()
@@ -58,7 +58,7 @@
     max_body_bytes: int,
     now: float,
 ) -> Result[CallerRequest, Refusal]:
-    """Read and check one request; the body is bounded before it is read."""
+    """Parse and validate one request; the body is read up to ``max_body_bytes``."""
     headers = _headers(environ)
     request_id = headers.get("x-request-id", "")
     if not request_id:
@@ -113,7 +113,7 @@
 def _read_deadline(text: str | None) -> Result[float | None, Refusal]:
     if text is None:
         return Ok(None)
-    # Python refuses to read numbers of thousands of digits, hence the length.
+    # int() raises ValueError for thousands of digits, hence the check of the length.
     is_number = text.isdecimal() and len(text) <= len(str(MAX_DEADLINE_MS))
     if not is_number or not 0 < int(text) <= MAX_DEADLINE_MS:
         return _bad(f"X-Deadline-Ms: a whole number from 1 to {MAX_DEADLINE_MS}")
@@ -121,7 +121,7 @@
 
 
 def _read_body(environ: dict[str, Any], limit: int) -> Result[bytes, Refusal]:
-    """Read the body, never more than the limit."""
+    """Read the body, up to the limit."""
     stream = environ["wsgi.input"]
     try:
         length = int(environ.get("CONTENT_LENGTH") or -1)
--- a/bamboovale/entry/crash_reporter.py
+++ b/bamboovale/entry/crash_reporter.py
@@ -1,4 +1,4 @@
-"""Tells which requests were running when an engine crashed, here and to the peers."""
+"""Reports requests that were running when an engine crashed, here and to peers."""
 
 import logging
 import threading
@@ -15,15 +15,15 @@
 from bamboovale.views import Views
 
 RESTART_WAIT_S = 60.0
-"""How long to wait for an unreachable engine to say whether it restarted."""
+"""How long to poll an unreachable engine to find out whether it restarted."""
 
-LOOK_EVERY_S = 1.0
+POLL_INTERVAL_S = 1.0
 
 logger = logging.getLogger(__name__)
 
 
 class CrashReporter:
-    """Finds out whether a broken run was a crash of its engine."""
+    """Detects whether a failed run was a crash of its engine."""
 
     def __init__(
         self,
@@ -40,18 +40,19 @@
         self._publish = publish
 
     def report(self, permit: Permit, fingerprint: str, *, alone: bool) -> bool:
-        """Report the request if its engine crashed; return whether it did.
+        """Report the request if its engine crashed; return whether it may have.
 
-        An engine that does not answer may only be cut off. That is enough to suspect
-        the request, not to refuse it everywhere: for that its new boot id is awaited.
+        ``alone`` says that no other request ran there. An engine that does not answer
+        may only be unreachable: the request becomes a suspect, but is reported as
+        the lone cause only after the engine shows a new boot id.
         """
         boot_id = self._read_boot_id(permit.engine_id)
         if boot_id == permit.boot_id:
             return False
         self._environment.metrics.suspects.inc()
-        proved = alone and boot_id is not None
-        self._tell(permit, fingerprint, alone=proved)
-        if alone and not proved:
+        confirmed = alone and boot_id is not None
+        self._publish_notice(permit, fingerprint, alone=confirmed)
+        if alone and not confirmed:
             threading.Thread(
                 target=self._await_restart,
                 args=(permit, fingerprint),
@@ -63,19 +64,19 @@
     def _await_restart(self, permit: Permit, fingerprint: str) -> None:
         give_up_at = self._environment.now() + RESTART_WAIT_S
         while self._environment.now() < give_up_at:
-            time.sleep(LOOK_EVERY_S)
+            time.sleep(POLL_INTERVAL_S)
             boot_id = self._read_boot_id(permit.engine_id)
             if boot_id is None:
                 continue
             if boot_id != permit.boot_id:
-                self._tell(permit, fingerprint, alone=True)
+                self._publish_notice(permit, fingerprint, alone=True)
             return
 
-    def _tell(self, permit: Permit, fingerprint: str, *, alone: bool) -> None:
+    def _publish_notice(self, permit: Permit, fingerprint: str, *, alone: bool) -> None:
         notice = CrashNotice(fingerprint, permit.engine_id, permit.boot_id, alone)
         if self._decisions.on_crash(notice):
             logger.warning(
-                "engine %s crashed under request %s (alone: %s)",
+                "engine %s crashed while running request %s (alone: %s)",
                 permit.engine_id,
                 permit.request_id,
                 alone,
--- a/bamboovale/entry/decision_facade.py
+++ b/bamboovale/entry/decision_facade.py
@@ -1,4 +1,4 @@
-"""The decisions of one entry VM under one lock, for its many caller threads."""
+"""Thread-safe access to the decisions of one entry VM, for its caller threads."""
 
 import contextlib
 import random
@@ -24,17 +24,17 @@
 from bamboovale.views import Views
 
 BYTES_PER_PLACE = 64 * 1024
-"""Mean body that a place may hold; a node's 64 MB leave about that much for bodies."""
+"""Mean body size per open request; bounds the memory that bodies take."""
 
 REFUSING_THREADS = 8
-"""Threads kept free of admitted work, so that a full VM still refuses at once."""
+"""Threads kept free of admitted work, so that an overloaded VM can still refuse."""
 
 
 class DecisionFacade:
     """Placement, admission, routing, retries and suspects of this entry VM.
 
-    The decisions are pure and take microseconds; a lock around them costs less than a
-    message to an actor and back for each request.
+    The decisions do no I/O, so one lock around them costs less than a message to an
+    actor and back for each request.
     """
 
     def __init__(self, environment: Environment, views: Views, policy: Policy) -> None:
@@ -61,7 +61,7 @@
     # Events.
 
     def on_membership(self) -> None:
-        """Take the present VMs."""
+        """Update the decisions with the current VMs."""
         membership = self._views.membership
         catalogue = self._views.catalogue
         pools = {} if catalogue is None else catalogue.pool_by_name
@@ -78,22 +78,22 @@
                 router.set_endpoints(vm.id for vm in membership.live_endpoints(pool))
 
     def on_hint(self, hint: EngineHint) -> None:
-        """Take what a lease holder tells of its engine."""
+        """Apply a routing hint from an engine's lease holder."""
         with self._lock:
             self._placement.on_hint(hint, self._now())
 
     def on_crash(self, notice: CrashNotice) -> bool:
-        """Note a request seen at a crash; False if it was known."""
+        """Record a request that ran at a crash; False if it was known."""
         with self._lock:
             return self._suspects.on_notice(notice, self._now())
 
     def on_answered(self, fingerprint: str) -> None:
-        """Clear a suspect whose run ended."""
+        """Clear the suspicion of a request whose run succeeded."""
         with self._lock:
             self._suspects.on_answered(fingerprint, self._now())
 
     def on_tick(self) -> None:
-        """Let time pass for all decisions."""
+        """Advance the time of all decisions."""
         now = self._now()
         with self._lock:
             self._placement.on_tick(now)
@@ -101,10 +101,10 @@
                 with self._counting_ejections(router):
                     router.on_tick(now)
 
-    # Admission and repeats.
+    # Admission and retries.
 
     def admit(self, arrival: Arrival) -> Refusal | None:
-        """Take a request in, or return its refusal."""
+        """Admit a request, or return its refusal."""
         with self._lock:
             now = self._now()
             refusal = self._admission.on_request(arrival, now, self._rng)
@@ -113,24 +113,24 @@
             return refusal
 
     def release(self, request_id: str) -> None:
-        """Free what a request held."""
+        """Release what an admitted request holds."""
         with self._lock:
             self._admission.on_done(request_id)
 
     def may_retry(self) -> bool:
-        """Take one repeat from the budget."""
+        """Take one retry from the budget; False if it is exhausted."""
         with self._lock:
             return self._retries.take(self._now())
 
     # Engines.
 
     def crash_refusal(self, fingerprint: str) -> Refusal | None:
-        """Return the final answer for a request that crashes endpoints."""
+        """Return the refusal of a request that crashes endpoints, else None."""
         with self._lock:
             return self._suspects.refusal(fingerprint, self._now())
 
     def crashed_endpoints(self, fingerprint: str) -> frozenset[str]:
-        """Return the endpoints that a suspect must not run on again."""
+        """Return the endpoints that crashed under this request."""
         with self._lock:
             return self._suspects.crashed_endpoints(fingerprint, self._now())
 
@@ -140,7 +140,7 @@
         base_model: str,
         excluded: Collection[str],
     ) -> str | None:
-        """Return the engine to ask for a place."""
+        """Return the engine to request a permit for, None if there is none."""
         with self._lock:
             engine_id = self._placement.choose_engine(
                 item,
@@ -161,7 +161,7 @@
         call_id: str,
         excluded: Collection[str],
     ) -> str | None:
-        """Return the endpoint to call and count the call."""
+        """Choose an endpoint and count the call there; None if there is none."""
         with self._lock:
             router = self._router_by_pool[pool]
             now = self._now()
--- a/bamboovale/entry/disconnects.py
+++ b/bamboovale/entry/disconnects.py
@@ -1,8 +1,8 @@
-"""Notices callers that hang up while their request waits or runs.
+"""Detects callers that disconnect while their request waits or runs.
 
-A thread that waits for a permit or for an engine does not look at the caller's
-socket. Without this, the engine would go on working for nobody: at overload, callers
-that lost patience and asked again would double the load.
+A thread that waits for a permit or an engine does not read the caller's socket. Without
+this, engines would go on with abandoned requests, and callers that time out and retry
+at overload would add to the load.
 """
 
 import contextlib
@@ -12,11 +12,11 @@
 from collections.abc import Callable, Iterator
 
 POLL_S = 1.0
-_GONE = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
+_DISCONNECTED = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
 
 
 class DisconnectWatcher:
-    """One thread that watches the sockets of all waiting callers."""
+    """Watches the sockets of all waiting callers on one thread."""
 
     def __init__(self) -> None:
         self._epoll = select.epoll()
@@ -46,14 +46,17 @@
         caller: socket.socket | None,
         on_disconnect: Callable[[], None],
     ) -> Iterator[None]:
-        """Call ``on_disconnect`` once, from the watcher's thread, if it goes away."""
+        """Call ``on_disconnect`` if the caller disconnects within the block.
+
+        It is called at most once, on the watcher's thread.
+        """
         if caller is None or caller.fileno() < 0:
             yield
             return
         descriptor = caller.fileno()
         with self._lock:
             self._callback_by_descriptor[descriptor] = on_disconnect
-            self._epoll.register(descriptor, _GONE | select.EPOLLONESHOT)
+            self._epoll.register(descriptor, _DISCONNECTED | select.EPOLLONESHOT)
         try:
             yield
         finally:
--- a/bamboovale/entry/endpoint_connections.py
+++ b/bamboovale/entry/endpoint_connections.py
@@ -1,8 +1,8 @@
-"""Connections to endpoints, opened and closed one request at a time.
+"""Connections to endpoints, with explicit control over each connection.
 
-The entry VM must know whether a byte of a request can have reached the endpoint, and
-must be able to break off a running request from another thread. A pool that hides its
-connections offers neither, so this module holds ``urllib3`` connections itself.
+The entry VM must know whether any byte of a request may have reached the endpoint, and
+must be able to abort a running request from another thread. The pools of ``urllib3``
+offer neither, so this module keeps its connections itself.
 """
 
 import contextlib
@@ -17,15 +17,15 @@
 from bamboovale.http_client import CONNECT_TIMEOUT_S
 
 MAX_IDLE_PER_ENDPOINT = 32
-"""Kept connections; more than the batch of an engine are never busy at once."""
+"""Idle connections kept; an engine's batch bounds how many are in use at once."""
 
 
 class ConnectFailedError(Exception):
-    """No connection came about: the request was not sent."""
+    """The connection could not be opened: the request was not sent."""
 
 
 class ExchangeFailedError(Exception):
-    """The connection broke after sending began: the request may have run."""
+    """The connection failed after sending started: the request may have run."""
 
 
 class Exchange:
@@ -43,7 +43,7 @@
         body: bytes,
         headers: dict[str, str],
     ) -> BaseHTTPResponse:
-        """Send the request and wait for the head of the answer."""
+        """Send the request and wait for the status and headers of the answer."""
         try:
             self.connection.request(
                 method,
@@ -59,7 +59,7 @@
         return self.response
 
     def abort(self) -> None:
-        """Break the connection off; safe to call from another thread."""
+        """Shut the connection down; may be called from another thread."""
         self.aborted = True
         sock = self.connection.sock
         if sock is not None:
@@ -70,8 +70,8 @@
 class EndpointConnections:
     """Idle connections by address.
 
-    A connection on which an answer was given up on is closed and never used again:
-    what still arrives on it would be taken for the answer to the next request.
+    A connection whose answer was not read to the end is never reused: its remaining
+    bytes would be read as the answer to the next request.
     """
 
     def __init__(self, source_address: str) -> None:
@@ -90,8 +90,8 @@
     ) -> Exchange:
         """Return an exchange on a connected socket.
 
-        ``fresh`` is for requests that may run once only: a kept connection that the
-        endpoint closes just now breaks after sending, and nobody could tell whether
+        ``fresh`` opens a new one, for requests that may run only once: if the endpoint
+        closes an idle connection just as the request is sent, it is unknown whether
         the request ran.
         """
         connection = None if fresh else self._take_idle(address)
@@ -102,7 +102,7 @@
         return Exchange(connection)
 
     def release(self, address: tuple[str, int], exchange: Exchange) -> None:
-        """Keep the connection; its answer was read to the end."""
+        """Keep the connection for reuse; its answer must have been read to the end."""
         response = exchange.response
         reusable = (
             response is not None
@@ -117,7 +117,7 @@
         exchange.connection.close()
 
     def discard(self, exchange: Exchange) -> None:
-        """Close the connection; whatever still arrives on it is nobody's answer."""
+        """Close the connection, with any unread rest of its answer."""
         exchange.connection.close()
 
     def close(self) -> None:
--- a/bamboovale/entry/engine_holders.py
+++ b/bamboovale/entry/engine_holders.py
@@ -1,4 +1,4 @@
-"""The engines whose leases this entry VM holds, each with its holder task."""
+"""Starts and stops the holder actors of engines whose leases this VM holds."""
 
 import threading
 from collections.abc import Callable
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class HolderCallbacks:
-    """What a holder needs of the rest of the VM."""
+    """The callbacks of a holder into its VM."""
 
     load_grants: LoadGrants
     on_hint: Callable[[EngineHint], None]
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class HeldLease:
-    """What a holder is started with."""
+    """A lease whose holder is not started yet."""
 
     fencing: int
     valid: Callable[[], bool]
@@ -51,7 +51,7 @@
 
 
 class EngineHolders:
-    """Starts and stops holders as leases come and go."""
+    """Starts and stops holders as leases are acquired and lost."""
 
     def __init__(
         self,
@@ -81,16 +81,16 @@
         valid: Callable[[], bool],
         links: HolderCallbacks,
     ) -> None:
-        """Begin to hold an engine."""
+        """Start the holder of an engine, or defer it until its pool is known."""
         vm = self._views.membership.vm_by_id.get(engine_id)
         address = self._views.membership.address_of(engine_id, "http")
         if vm is None or address is None:
-            return  # not listed any more: the lease lapses with nobody renewing it
+            return  # no longer listed: the lease expires without renewal
         engine = EngineAddress(engine_id, *address)
         with self._lock:
-            before = self._holder_by_engine.pop(engine_id, None)
-            if before is not None:
-                self._end(before)
+            previous = self._holder_by_engine.pop(engine_id, None)
+            if previous is not None:
+                self._end(previous)
             self._lease_by_engine_without_pool.pop(engine_id, None)
             if self._awaits_pool(vm.pool):
                 held = HeldLease(fencing, valid, links)
@@ -119,7 +119,7 @@
         links.on_started(engine_id)
 
     def stop(self, engine_id: str, links: HolderCallbacks) -> None:
-        """Stop holding an engine; what waits there is sent elsewhere."""
+        """Stop the holder of an engine; its queued requests try another engine."""
         with self._lock:
             self._lease_by_engine_without_pool.pop(engine_id, None)
             holder = self._holder_by_engine.pop(engine_id, None)
@@ -137,13 +137,13 @@
             self._end(holder)
 
     def wake(self, engine_id: str) -> None:
-        """Let a holder look at its lease at once, not at its next tick."""
+        """Make a holder check its lease immediately instead of at its next tick."""
         holder = self._holder_by_engine.get(engine_id)
         if holder is not None:
             tell(holder, Tick())
 
     def on_membership(self) -> None:
-        """Tell holders of engines that leave; start those whose pool became known."""
+        """Notify holders of leaving engines; start holders whose pool became known."""
         for engine_id, holder in list(self._holder_by_engine.items()):
             if self._views.membership.is_leaving(engine_id):
                 tell(holder, EngineLeaving())
@@ -154,12 +154,12 @@
                     self.start(engine_id, held.fencing, held.valid, held.links)
 
     def on_entry_vm_gone(self, vm_id: str) -> None:
-        """Tell all holders that an entry VM fell silent."""
+        """Notify all holders that an entry VM is unreachable."""
         for holder in list(self._holder_by_engine.values()):
             tell(holder, EntryVMGone(vm_id))
 
     def on_version_changed(self, replaced: str, lora_name: str, source: str) -> None:
-        """Tell all holders of a new version."""
+        """Notify all holders of a new adapter version."""
         for holder in list(self._holder_by_engine.values()):
             tell(holder, VersionChanged(replaced, lora_name, source))
 
@@ -189,12 +189,11 @@
         )
 
     def _awaits_pool(self, pool: str) -> bool:
-        """Tell whether the catalogue is known but does not name the pool yet.
+        """Return whether the catalogue is known but does not have the pool yet.
 
-        A holder started then would guess how long a load takes. A guess far too long
-        keeps new adapters away from its engine, so that nothing ever corrects it: the
-        engine idles while others exchange their slots. Nobody can ask for the engine
-        before its pool is named, so waiting costs nothing.
+        A holder started then would use a default load time. If that is far too long,
+        no new adapter is sent to the engine, so the default is never corrected and
+        the engine idles. No request can use the engine before its pool is known.
         """
         return self._views.catalogue is not None and self._pool_entry(pool) is None
 
--- a/bamboovale/entry/engine_run.py
+++ b/bamboovale/entry/engine_run.py
@@ -1,4 +1,4 @@
-"""One run of one request on one engine, under a permit."""
+"""One run of a request on an engine, under a permit."""
 
 import json
 from collections.abc import Iterator
@@ -17,7 +17,7 @@
 )
 
 HEAD_TIMEOUT_S = 600.0
-"""A whole answer of some thousand tokens at 56 ms each, behind the engine's queue."""
+"""Covers the engine's queue and an answer of some thousand tokens."""
 
 STREAM_READ_BYTES = 64 * 1024
 DONE_EVENT = b"data: [DONE]"
@@ -25,7 +25,7 @@
 
 
 class RunFailure(StrEnum):
-    """Why a run brought no whole answer."""
+    """Why a run gave no complete answer."""
 
     NOT_SENT = "not_sent"
     REFUSED = "refused"
@@ -35,10 +35,10 @@
 
 
 class RunFailedError(Exception):
-    """A run that ended without a whole answer.
+    """A run that ended without a complete answer.
 
-    ``NOT_SENT`` and ``REFUSED`` did not run. ``REJECTED`` carries the engine's own
-    4xx answer, which is final and was not run either.
+    ``NOT_SENT`` and ``REFUSED`` did not run. ``REJECTED`` did not run either and
+    carries the engine's 4xx answer, which is final.
     """
 
     def __init__(self, failure: RunFailure, reason: str, answer: bytes = b"") -> None:
@@ -48,7 +48,7 @@
 
     @property
     def not_run(self) -> bool:
-        """Tell whether the request surely did not run."""
+        """Return whether it is certain that the request did not run."""
         return self.failure in (
             RunFailure.NOT_SENT,
             RunFailure.REFUSED,
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True)
 class RunTarget:
-    """Where a run goes and as what: the answer must name both names."""
+    """The engine and the names of a run, both of which its answer must repeat."""
 
     address: tuple[str, int]
     attempt_id: str
@@ -66,7 +66,7 @@
 
 
 class EngineRun:
-    """Sends one attempt and reads its answer, checking whose it is."""
+    """Sends one attempt and reads its answer, checking that it belongs to it."""
 
     def __init__(
         self,
@@ -88,7 +88,7 @@
             raise RunFailedError(RunFailure.NOT_SENT, str(error)) from error
 
     def send(self, path: str, body: bytes) -> BaseHTTPResponse:
-        """Send the request and judge the head of its answer."""
+        """Send the request and check the status of its answer."""
         headers = {
             "Content-Type": "application/json",
             "X-Request-Id": self._target.attempt_id,
@@ -102,14 +102,14 @@
         return response
 
     def read_answer(self, response: BaseHTTPResponse) -> bytes:
-        """Return the whole answer of a request that is not a stream."""
+        """Return the body of a complete answer that is not a stream."""
         data = self._read(response)
         try:
             answer = json.loads(data)
         except ValueError as error:
             raise RunFailedError(RunFailure.WRONG, "the answer is not JSON") from error
-        self._check_owner(answer)
-        self._check_whole(answer)
+        self._check_identity(answer)
+        self._check_finished(answer)
         self._finished = True
         self._connections.release(self._target.address, self.exchange)
         return data
@@ -117,8 +117,8 @@
     def read_events(self, response: BaseHTTPResponse) -> Iterator[bytes]:
         """Yield the events of a stream up to its end marker.
 
-        Raises RunFailedError(BROKEN) for a stream that ends without the marker: whoever
-        read it would take the part for the whole.
+        Raises RunFailedError(BROKEN) for a stream that ends without the marker, so
+        that a truncated answer is not passed on as complete.
         """
         pending = b""
         first = True
@@ -130,7 +130,7 @@
                     self._read_rest(response)
                     return
                 if first:
-                    self._check_owner(_event_json(event))
+                    self._check_identity(_event_json(event))
                     first = False
                 yield event + EVENT_END
         raise RunFailedError(
@@ -138,7 +138,7 @@
         )
 
     def abandon(self) -> None:
-        """Close the connection: it cancels the run, and no late answer is read."""
+        """Close the connection unless the run finished; this cancels the run."""
         if not self._finished:
             self._connections.discard(self.exchange)
 
@@ -155,7 +155,7 @@
             raise RunFailedError(RunFailure.BROKEN, type(error).__name__) from error
 
     def _read_rest(self, response: BaseHTTPResponse) -> None:
-        """Read the empty end of the stream, so that the connection can be kept."""
+        """Read to the end of the response, so that the connection can be reused."""
         try:
             rest = response.read()
         except (HTTPError, OSError, ValueError, AttributeError):
@@ -167,8 +167,8 @@
     def _head_failure(self, response: BaseHTTPResponse) -> RunFailedError:
         data = self._read(response)
         if response.status in (404, 503):
-            # The engine says itself that it did not take the request: the adapter is
-            # not loaded there (any more), or it is full.
+            # The engine did not accept the request: the adapter is not loaded there,
+            # or the engine is full.
             return RunFailedError(RunFailure.REFUSED, f"status {response.status}")
         if 400 <= response.status < 500:
             return RunFailedError(
@@ -176,18 +176,18 @@
             )
         return RunFailedError(RunFailure.BROKEN, f"status {response.status}")
 
-    def _check_owner(self, answer: Any) -> None:
-        """Refuse an answer that is another request's or another version's.
+    def _check_identity(self, answer: Any) -> None:
+        """Raise for an answer to another request or from another adapter version.
 
-        It shows as an id or a model that differs from what was sent: a connection
-        mixed up, an engine that fell back to another adapter.
+        Guards against mixed-up connections and against engines that fall back to
+        another adapter.
         """
         target = self._target
         named = isinstance(answer, dict) and (answer.get("id"), answer.get("model"))
         if named != (target.attempt_id, target.lora_name):
             raise RunFailedError(RunFailure.WRONG, f"the answer names {named}")
 
-    def _check_whole(self, answer: dict[str, Any]) -> None:
+    def _check_finished(self, answer: dict[str, Any]) -> None:
         choices = answer.get("choices")
         if not choices or not choices[0].get("finish_reason"):
             raise RunFailedError(RunFailure.WRONG, "the answer has no finished choice")
--- a/bamboovale/entry/holder_router.py
+++ b/bamboovale/entry/holder_router.py
@@ -1,4 +1,4 @@
-"""The way from this VM's requests to lease holders, here or on a peer."""
+"""Routes permit messages to the lease holders of engines, here or on a peer."""
 
 from concurrent.futures import Future
 from typing import Any
@@ -22,7 +22,7 @@
 
 
 class HolderRouter:
-    """Implements :class:`~bamboovale.entry.permits.HolderTransport`."""
+    """Implements :class:`~bamboovale.entry.permits.HolderTransport` over links."""
 
     def __init__(
         self,
@@ -39,9 +39,9 @@
     def holder_of(self, engine_id: str) -> str | None:
         """Return the VM that holds the engine's lease, as far as is known.
 
-        A VM that started during an outage of the log knows no leases. It would take
-        callers and refuse every model request; whoever sends the engine's hints is
-        asked instead, and judges for itself whether it still holds the lease.
+        A VM that started during an outage of the log knows no leases and would
+        refuse all model requests. It uses the sender of the engine's routing hints
+        instead, which checks itself whether it still holds the lease.
         """
         holder = self._views.holder_of(engine_id)
         if holder is not None:
@@ -50,14 +50,14 @@
         return None if received is None else received.from_vm
 
     def fencing_of(self, engine_id: str) -> int:
-        """Return the fencing number of the present holder, -1 if not known."""
+        """Return the fencing number of the current lease, -1 if not known."""
         lease = self._views.lease_by_engine.get(engine_id)
         return -1 if lease is None else lease.fencing
 
     def request_permit(
         self, holder: str, request: PermitAsk, timeout_s: float
     ) -> "Future[Any]":
-        """Send the first ask of a request."""
+        """Send the first permit request of an attempt."""
         if holder != self._own_id:
             return self._links.request(holder, request, timeout_s)
         future: Future[Any] = Future()
@@ -65,7 +65,7 @@
         return future
 
     def notify(self, holder: str, message: Any) -> None:
-        """Send a message that needs no answer."""
+        """Send a message without a reply."""
         if holder != self._own_id:
             self._links.notify(holder, message)
         else:
@@ -78,7 +78,7 @@
     request: PermitAsk,
     reply: Any,
 ) -> None:
-    """Hand an ask to the engine's holder here, or send it elsewhere."""
+    """Pass a permit request to the engine's holder here, or refuse it if none is."""
     holder = holders.find(request.engine_id)
     if holder is None:
         reply(
@@ -95,7 +95,7 @@
 
 
 def deliver_notice(holders: EngineHolders, from_vm: str, message: Any) -> None:
-    """Hand a repeat, a cancellation or a release to the engine's holder here."""
+    """Pass a repeated request, a cancellation or a release to the holder here."""
     holder = holders.find(message.engine_id)
     if holder is None:
         return
--- a/bamboovale/entry/http_server.py
+++ b/bamboovale/entry/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP listeners of an entry VM, one for callers and one for administration."""
+"""HTTP listeners of an entry VM for callers and for administration."""
 
 import threading
 from collections.abc import Callable
@@ -10,28 +10,26 @@
 from bamboovale.entry.request_gate import GatedServer
 
 SOCKET_TIMEOUT_S = 5
-"""A caller that sends or reads nothing for this long is let go: it holds a thread."""
+"""Limit of one read or write, since a slow caller holds a thread."""
 
 KEEP_ALIVE_S = 60
-"""Idle connections are closed after this. The server closes them by the clock before
-it looks for requests in them: a VM that was frozen for longer than this breaks the
-requests that were sent to it meanwhile."""
+"""Idle connections are closed after this time. The server checks the clock before the
+socket, so a VM that was paused for longer drops requests that arrived meanwhile."""
 
 KEPT_CONNECTIONS = 1000
-"""Idle connections of callers; each costs a descriptor and no thread."""
+"""Idle connections kept; each uses a descriptor but no thread."""
 
 ACCEPT_QUEUE = 256
 MAX_HEADER_BYTES = 32 * 1024
 BODY_SLACK_BYTES = 1024
-"""Our own check of a body's size answers in our form; the server's own, a little
-further up, is for bodies that lie about their size."""
+"""Margin of the server's body limit over ours, which answers with a JSON error."""
 
 
 class ConnectionGateway(wsgi.Gateway_10):
-    """Gives the application the connection: to notice hang-ups, and to close it."""
+    """Gives the application the connection, to detect disconnects and to close it."""
 
     def get_environ(self) -> dict[str, Any]:  # type: ignore[override]
-        """Return the WSGI environment with the connection's socket."""
+        """Return the WSGI environment with the connection's socket and a close hook."""
         environ = super().get_environ()
         request = self.req
         environ["bamboovale.socket"] = request.conn.socket
@@ -40,7 +38,7 @@
 
 
 class CallerConnection(HTTPConnection):
-    """A connection whose reads and writes time out sooner than its idle time."""
+    """A connection with a read and write timeout shorter than its idle timeout."""
 
     def __init__(self, server: Any, sock: Any, *more: Any) -> None:
         super().__init__(server, sock, *more)
@@ -48,7 +46,7 @@
 
 
 class HttpListener:
-    """One listening port with its threads."""
+    """An HTTP server on one port with its thread pool."""
 
     def __init__(
         self,
@@ -77,12 +75,12 @@
         )
 
     def start(self) -> None:
-        """Bind the port and serve; raises OSError if it cannot be bound."""
+        """Bind the port and start serving; raises OSError if it cannot be bound."""
         self._server.prepare()
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop listening and end the threads; nothing if the port was not bound."""
+        """Stop listening and end the threads, if the port was bound."""
         self._server.stop()
         if self._thread.is_alive():
             self._thread.join(timeout=SOCKET_TIMEOUT_S)
--- a/bamboovale/entry/idempotency_keys.py
+++ b/bamboovale/entry/idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Requests with an ``Idempotency-Key``: run at most once, whoever repeats them."""
+"""Requests with an ``Idempotency-Key``: each key is run at most once."""
 
 import time
 from collections.abc import Callable, Iterator
@@ -27,18 +27,17 @@
 from bamboovale.errors import ErrorCode, Refusal
 
 CLAIM_WAIT_S = 2.0
-"""A claim is read back within tens of milliseconds; past this the log is in trouble
-and the caller is told at once that its request was not run."""
+"""Time for a claim to be read back from the log before the request is refused."""
 
 POLL_S = 0.2
-LONGEST_POLL_S = 10.0
-"""How long a repeat waits for the answer of the attempt that runs."""
+MAX_ANSWER_WAIT_S = 10.0
+"""How long a repeated request waits for the answer of the running attempt."""
 
 FindAnswer = Callable[[str, str], KeptAnswer]
 
 
 class IdempotencyKeyHandler:
-    """Claims the key first, then runs, then keeps the answer for repeats."""
+    """Claims the key, runs the request and keeps the answer for repeated requests."""
 
     def __init__(
         self,
@@ -61,10 +60,10 @@
         owner: str,
         run: Callable[[], CallerAnswer],
     ) -> CallerAnswer:
-        """Run the request if its key is won, else answer from what is known."""
+        """Run the request if its claim wins, else answer for the existing claim."""
         claim = self._make_claim(request, attempt_id, owner)
         self._answers.begin(attempt_id)
-        # With the log known to be silent, a claim would only be waited for in vain.
+        # With the log unreachable, the claim would only time out.
         outcome = self._claim(claim, request) if self._log_reachable() else None
         if outcome is None:
             return self._refuse(
@@ -95,7 +94,7 @@
         )
 
     def _claim(self, claim: Claim, request: CallerRequest) -> ClaimOutcome | None:
-        """Wait until the claim is read back; None: it is never sent."""
+        """Wait until the claim is read back; None if it was not and is discarded."""
         now = self._environment.now()
         wait_s = min(CLAIM_WAIT_S, request.deadline_s or CLAIM_WAIT_S)
         future: Future[ClaimOutcome | None] = Future()
@@ -113,7 +112,7 @@
         except BaseException:
             self._settle(claim, KeptAnswer(AnswerState.UNKNOWN))
             raise
-        copy = _Copy(answer)
+        copy = _ChunkCopy(answer)
 
         def settle() -> None:
             self._settle(claim, copy.kept())
@@ -129,7 +128,7 @@
         elif kept.state is AnswerState.ANSWERED:
             item = Answered(claim.key, claim.owner, claim.attempt_id, kept.status)
         else:
-            return  # the key stays claimed: nobody knows whether it ran
+            return  # the key stays claimed: it is unknown whether the request ran
         tell(self._claims, ClaimEnded(item))
 
     def _answer_loser(
@@ -157,8 +156,8 @@
         return self._unknown(request, "nobody can tell whether this key ran before")
 
     def _answer_repeat(self, request: CallerRequest, holder: KeyReport) -> CallerAnswer:
-        """Give a repeat the first attempt's answer, once there is one."""
-        wait_s = min(LONGEST_POLL_S, request.deadline_s or LONGEST_POLL_S)
+        """Wait for the first attempt's answer and return it to a repeated request."""
+        wait_s = min(MAX_ANSWER_WAIT_S, request.deadline_s or MAX_ANSWER_WAIT_S)
         give_up_at = self._environment.now() + wait_s
         while True:
             kept = self._find_answer(holder.node, holder.attempt_id)
@@ -197,44 +196,44 @@
         return CallerAnswer.refusal(refusal, request.request_id)
 
 
-class _Copy:
-    """Passes an answer's chunks on and keeps a bounded copy for repeats."""
+class _ChunkCopy:
+    """Forwards an answer's chunks and keeps a bounded copy for repeated requests."""
 
     def __init__(self, answer: CallerAnswer) -> None:
         self._answer = answer
         self._chunks = iter(answer.chunks)
         self._kept = bytearray()
-        self._whole = True
+        self._complete = True
 
     def __iter__(self) -> Iterator[bytes]:
         return self
 
     def __next__(self) -> bytes:
         chunk = next(self._chunks)
-        if self._whole and len(self._kept) + len(chunk) <= MAX_BODY_BYTES:
+        if self._complete and len(self._kept) + len(chunk) <= MAX_BODY_BYTES:
             self._kept += chunk
         else:
-            self._whole = False
+            self._complete = False
         return chunk
 
     def close(self) -> None:
-        """End the chunks below, which settles the outcome."""
+        """Close the wrapped chunks, which sets the final outcome."""
         close_chunks = getattr(self._chunks, "close", None)
         if close_chunks is not None:
             close_chunks()
 
     def kept(self) -> KeptAnswer:
-        """Return what is kept for repeats."""
+        """Return the answer to keep for repeated requests."""
         answer = self._answer
         state = _final_state(answer.outcome)
-        if state is AnswerState.ANSWERED and not self._whole:
+        if state is AnswerState.ANSWERED and not self._complete:
             state = AnswerState.UNKNOWN
         headers = tuple(answer.headers)
         return KeptAnswer(state, answer.status, headers, bytes(self._kept))
 
 
 def _final_state(outcome: AnswerOutcome) -> AnswerState:
-    """Return how the attempt ended; one broken off while running is unknown."""
+    """Return the final state; an attempt aborted while running is unknown."""
     if outcome.state is AnswerState.RUNNING:
         return AnswerState.UNKNOWN
     return outcome.state
--- a/bamboovale/entry/model_call.py
+++ b/bamboovale/entry/model_call.py
@@ -1,4 +1,4 @@
-"""The body of a model request in the OpenAI style, checked."""
+"""Parsing and validation of model requests in the OpenAI format."""
 
 import json
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class ModelCall:
-    """What a caller wants of a model; ``fields`` is the whole body."""
+    """A parsed model request; ``fields`` is the complete body."""
 
     path: str
     model: str
@@ -23,7 +23,7 @@
     fields: dict[str, Any]
 
     def body_for(self, lora_name: str, max_tokens: int, priority: int) -> bytes:
-        """Return the body that an engine gets."""
+        """Return the body to send to an engine."""
         fields = {
             **self.fields,
             "model": lora_name,
@@ -34,7 +34,7 @@
 
 
 def read_model_call(path: str, body: bytes) -> Result[ModelCall, Refusal]:
-    """Check a body; all findings come in one refusal."""
+    """Parse and validate a body; one refusal lists all findings."""
     try:
         fields = json.loads(body, parse_constant=_refuse_constant)
     except (ValueError, RecursionError):
@@ -56,7 +56,7 @@
 
 
 def _refuse_constant(text: str) -> float:
-    """Refuse NaN and Infinity: they are no JSON, and an engine may fail on them."""
+    """Raise ValueError for NaN and Infinity, which are not JSON."""
     raise ValueError(f"{text} is no JSON")
 
 
--- a/bamboovale/entry/model_requests.py
+++ b/bamboovale/entry/model_requests.py
@@ -1,4 +1,4 @@
-"""Model requests: from the catalogue entry to the whole answer."""
+"""Model requests: finds the entry, gets permits and retries failed runs."""
 
 import time
 from dataclasses import replace
@@ -42,24 +42,23 @@
 from bamboovale.models import AdapterVersion
 from bamboovale.views import Views
 
-SEARCH_S = 5.0
-"""How long to look for an engine while leases move: a killed holder's engine is served
-again within this time."""
+MAX_SEARCH_S = 5.0
+"""How long to look for an engine while leases move after a holder was lost."""
 
-PAUSE_S = 0.1
-"""Between two rounds over all engines while none has a holder."""
+SEARCH_PAUSE_S = 0.1
+"""Pause between two rounds over all engines."""
 
 MAX_REFUSALS = 2
-"""A refusal may come of an old hint; the second engine's refusal is final."""
+"""The first refusal may be due to an outdated hint; the second is final."""
 
 MAX_RUNS = 3
-"""Runs of one request at most, whatever the retry budget would allow."""
+"""Runs of one request, independent of the retry budget."""
 
 UNSTARTED_RUN_BACKOFF_S = 0.02
-"""Grows with each; ten of them give a holder a second to see a restarted engine."""
+"""Linear back-off, so that the holder has time to detect a restarted engine."""
 
 MAX_UNSTARTED_RUNS = 10
-"""Permits whose run did not begin (adapter gone, no connection, send-by past)."""
+"""Permits whose run did not start (adapter gone, no connection, permit expired)."""
 
 
 class ModelRequests:
@@ -135,7 +134,7 @@
         )
 
     def _attempt(self, attempts: Attempts) -> CallerAnswer:
-        """Try engines until one answers or the request is given up on."""
+        """Try engines until one answers or the request has to be refused."""
         request = attempts.request
         with self._disconnects.watch(request.connection, attempts.disconnect.trigger):
             try:
@@ -159,7 +158,7 @@
                 return CallerAnswer.refusal(refusal, request.request_id)
 
     def _try_once(self, attempts: Attempts) -> CallerAnswer | None:
-        """Get one permit and run under it; None means: try again."""
+        """Acquire one permit and run under it; None if another try is needed."""
         self._check_serving()
         attempt_id = self._lifecycle.new_attempt_id(attempts.request)
         held = self._get_permit(attempts, attempt_id)
@@ -170,8 +169,8 @@
             self._permits.release(held)
             return None
         if entry is None or entry.target.lora_name != held.permit.lora_name:
-            # The catalogue changed while the request waited: it moves to the new
-            # version and never runs on the old one.
+            # The catalogue changed while the request waited: it must not run on the
+            # old version.
             self._permits.release(held)
             self._follow_catalogue(attempts, entry)
             return None
@@ -190,7 +189,7 @@
                 attempts.disconnect,
             )
         except RunFailedError as failed:
-            self._settle_failure(attempts, held, failed)
+            self._handle_failure(attempts, held, failed)
             return None
 
     def _follow_catalogue(
@@ -234,7 +233,7 @@
             attempts.holder_missing = True
             return None
         if answer.code is ErrorCode.LOG_UNAVAILABLE:
-            # It cannot be loaded there now; another engine may have it loaded.
+            # The engine cannot load the adapter now; another one may have it loaded.
             attempts.load_refusal = answer
             return None
         attempts.refusals += 1
@@ -243,7 +242,7 @@
         return None
 
     def _check_serving(self) -> None:
-        """End a request that waits here while this VM cannot vouch for its version."""
+        """Refuse a waiting request while this VM's catalogue may be outdated."""
         if not self._views.serving:
             raise FinalRefusalError(
                 Refusal(
@@ -285,15 +284,15 @@
         return min(wanted, attempts.entry.limits.max_tokens)
 
     def _pause_or_refuse(self, attempts: Attempts) -> None:
-        """Begin another round over the engines while their leases may be moving."""
+        """Start another round over the engines while their leases may be moving."""
         now = self._environment.now()
         request = attempts.request
-        give_up_at = min(attempts.latest_start, request.arrived_at + SEARCH_S)
+        give_up_at = min(attempts.latest_start, request.arrived_at + MAX_SEARCH_S)
         if attempts.disconnect.disconnected:
             raise CallerDisconnectedError
-        # An engine whose lease is moving may have the adapter loaded: look again.
-        looked_long_enough = not attempts.holder_missing or now >= give_up_at
-        if attempts.load_refusal is not None and looked_long_enough:
+        # An engine whose lease is moving may have the adapter loaded: search again.
+        search_ended = not attempts.holder_missing or now >= give_up_at
+        if attempts.load_refusal is not None and search_ended:
             raise FinalRefusalError(attempts.load_refusal)
         if now >= give_up_at:
             raise FinalRefusalError(
@@ -306,17 +305,17 @@
             )
         attempts.excluded.clear()
         attempts.holder_missing = False
-        time.sleep(PAUSE_S)
+        time.sleep(SEARCH_PAUSE_S)
 
     # Failures of runs.
 
-    def _settle_failure(
+    def _handle_failure(
         self,
         attempts: Attempts,
         held: HeldPermit,
         failed: RunFailedError,
     ) -> None:
-        """Decide whether the request may be tried again; raise if it may not."""
+        """Return if the request may be tried again; raise if it may not."""
         if attempts.disconnect.disconnected:
             attempts.runs += not failed.not_run
             raise CallerDisconnectedError
@@ -352,7 +351,7 @@
         held: HeldPermit,
         failed: RunFailedError,
     ) -> None:
-        """Go on after a run that did not begin, a bounded number of times."""
+        """Back off after a run that did not start; raise after MAX_UNSTARTED_RUNS."""
         attempts.unstarted_runs += 1
         time.sleep(attempts.unstarted_runs * UNSTARTED_RUN_BACKOFF_S)
         if failed.failure is RunFailure.NOT_SENT:
--- a/bamboovale/entry/model_runs.py
+++ b/bamboovale/entry/model_runs.py
@@ -1,4 +1,4 @@
-"""Runs model requests under permits and passes their answers on."""
+"""Runs model requests under permits and forwards their answers."""
 
 import contextlib
 import json
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class RunSpec:
-    """One run: what, under which permit, for whom."""
+    """The permit, the request body and the options of one run."""
 
     held: HeldPermit
     attempt_id: str
@@ -49,7 +49,7 @@
 
 
 class ModelRuns:
-    """Sends runs to engines; the permit is released when the answer has been sent."""
+    """Sends runs to engines; releases the permit when the answer has been sent."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         request: CallerRequest,
         disconnect: DisconnectSignal,
     ) -> CallerAnswer:
-        """Return the answer, or raise RunFailedError if there is none to pass on."""
+        """Return the answer; raises RunFailedError if there is none to forward."""
         with contextlib.ExitStack() as stack:
             stack.callback(self._permits.release, spec.held)
             run = self._open(spec)
@@ -136,15 +136,15 @@
         headers: list[tuple[str, str]],
         stack: contextlib.ExitStack,
     ) -> CallerAnswer:
-        """Begin to pass a stream on once its first event is there.
+        """Return a streamed answer after its first event has been read.
 
-        Until then nothing was passed on, and a break can still be mended by another
-        run; that is why the first event is read here.
+        Until then nothing was forwarded, so that a broken connection can still lead
+        to another run.
         """
         events = run.read_events(response)
         first = next(events, None)
         outcome = AnswerOutcome()
-        chunks = self._pass_on(spec, first, events, outcome)
+        chunks = self._forward(spec, first, events, outcome)
         held = stack.pop_all()
         return CallerAnswer(
             200,
@@ -153,23 +153,23 @@
             outcome,
         )
 
-    def _pass_on(
+    def _forward(
         self,
         spec: RunSpec,
         first: bytes | None,
         events: Iterator[bytes],
         outcome: AnswerOutcome,
     ) -> Iterator[bytes]:
-        passed = 0
+        forwarded = 0
         try:
             if first is not None:
                 yield first
-                passed = 1
+                forwarded = 1
             for event in events:
                 yield event
-                passed += 1
+                forwarded += 1
         except RunFailedError:
-            if not (yield from self._resume(spec, passed)):
+            if not (yield from self._resume(spec, forwarded)):
                 outcome.state = AnswerState.UNKNOWN
                 outcome.code = ErrorCode.OUTCOME_UNKNOWN.value
                 yield _error_event(spec)
@@ -183,7 +183,7 @@
         spec: RunSpec,
         offset: int,
     ) -> Generator[bytes, None, bool]:
-        """Read a broken stream on from where it broke; tell whether it ended whole.
+        """Continue a broken stream at ``offset``; return whether it was completed.
 
         The engine still runs the request if only the connection broke.
         """
--- a/bamboovale/entry/peer_client.py
+++ b/bamboovale/entry/peer_client.py
@@ -1,4 +1,4 @@
-"""What this entry VM asks of its peers and tells them, beside places on engines."""
+"""Requests and notices from this entry VM to its peers, except for permits."""
 
 import random
 from collections.abc import Callable
@@ -28,13 +28,12 @@
 from bamboovale.views import Views
 
 TIMEOUT_S = 2.0
-PASS_ON_TO = 3
-"""Peers that get new records from each VM: after a few rounds all have them, and no
-VM sends more than three copies, however large the fleet."""
+RECORD_FANOUT = 3
+"""Peers to which each VM forwards new records, whatever the number of VMs."""
 
 
 class PeerClient:
-    """Calls over the links; none blocks but :meth:`find_answer`."""
+    """Sends messages over the links; only :meth:`find_answer` blocks."""
 
     def __init__(
         self,
@@ -49,13 +48,13 @@
         self._answers = answers
 
     def forward_records(self, first_offset: int, values: tuple[Any, ...]) -> None:
-        """Pass new catalogue records on to a few peers."""
+        """Forward new catalogue records to a few random peers."""
         notice = RecordsNotice(CATALOGUE_STREAM, first_offset, values)
-        for vm_id in self._some_peers(PASS_ON_TO):
+        for vm_id in self._some_peers(RECORD_FANOUT):
             self._links.notify(vm_id, notice)
 
     def request_catalogue(self, vm_id: str | None, keeper: pykka.ActorRef) -> None:
-        """Ask a peer, any if None, for a whole catalogue; the keeper gets it."""
+        """Request a catalogue snapshot from a peer, any if None, for the keeper."""
         for peer in self._some_peers(1) if vm_id is None else [vm_id]:
             future: Future[Any] = self._links.request(
                 peer,
@@ -74,7 +73,7 @@
         own_permits: tuple[Permit, ...],
         holder: pykka.ActorRef,
     ) -> None:
-        """Tell a new holder which permits on its engine are in use, here and there."""
+        """Report to a new holder which permits on its engine this VM and peers hold."""
         tell(holder, PermitsReported(own_permits))
         for vm_id in self._all_peers():
             future = self._links.request(vm_id, PermitsQuery(engine_id), TIMEOUT_S)
@@ -85,7 +84,7 @@
         notice: CrashNotice,
         append: Callable[[dict[str, Any]], None],
     ) -> None:
-        """Tell all peers at once, and the log for VMs that start later."""
+        """Notify all peers, and append to the log for VMs that start later."""
         seen = CrashSeen(
             fingerprint=notice.fingerprint,
             endpoint_id=notice.endpoint_id,
@@ -105,13 +104,13 @@
         )
 
     def find_answer(self, vm_id: str, attempt_id: str) -> KeptAnswer:
-        """Return an attempt's answer from the VM that ran it; blocks a little."""
+        """Return an attempt's answer from the VM that ran it; may block."""
         if vm_id == self._own_id:
             return self._answers.find(attempt_id)
         future = self._links.request(vm_id, AnswerQuery(attempt_id), TIMEOUT_S)
         try:
             kept = future.result(2 * TIMEOUT_S)
-        except Exception:  # any failure of the link: nobody can tell
+        except Exception:  # any failure of the link: the outcome is unknown
             return KeptAnswer(AnswerState.UNKNOWN)
         if not isinstance(kept, AnswerKept):
             return KeptAnswer(AnswerState.UNKNOWN)
@@ -133,7 +132,7 @@
 
 
 def read_crash_notice(value: Any) -> CrashNotice | None:
-    """Return the notice a record of the log holds, None if it is none."""
+    """Return the crash notice in a record of the log, None if there is none."""
     if not isinstance(value, dict) or value.get("type") != "crash":
         return None
     fields = ("fingerprint", "endpoint_id", "boot_id")
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -1,4 +1,4 @@
-"""Hands messages of peers to the tasks of this entry VM; never blocks."""
+"""Dispatches messages of peers to the actors of this entry VM; never blocks."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class PeerTargets:
-    """Where the messages of peers go."""
+    """The receivers of messages of peers."""
 
     catalogue: pykka.ActorRef
     membership: pykka.ActorRef
@@ -59,7 +59,7 @@
 
 
 class PeerHandler:
-    """One method for each message; runs on the links' thread."""
+    """Handles each type of message on the links' thread."""
 
     def __init__(self, views: Views, targets: PeerTargets) -> None:
         self._views = views
@@ -84,13 +84,13 @@
         }
 
     def on_request(self, sender: str, message: Any, reply: Reply) -> None:
-        """Handle a message that wants a reply; unknown ones get none."""
+        """Handle a message that expects a reply; unknown types get none."""
         handler = self._request_by_type.get(type(message))
         if handler is not None:
             handler(sender, message, reply)
 
     def on_notice(self, sender: str, message: Any) -> None:
-        """Handle a message that wants no reply."""
+        """Handle a message without a reply; unknown types are ignored."""
         handler = self._notice_by_type.get(type(message))
         if handler is not None:
             handler(sender, message)
--- a/bamboovale/entry/permits.py
+++ b/bamboovale/entry/permits.py
@@ -1,8 +1,8 @@
-"""Gets permits from lease holders and knows which ones this entry VM holds.
+"""Acquires permits from lease holders and tracks those that this entry VM holds.
 
-The wait for a permit ends in one of four ways: a permit, a final refusal, "try
-another engine", or the caller's hanging up. A permit that arrives after the wait was
-given up on is returned unused.
+The wait for a permit ends with a permit, a final refusal, a request to try another
+engine, a change of the adapter version, or the disconnect of the caller. A permit that
+arrives after the wait was abandoned is returned unused.
 """
 
 import queue
@@ -23,37 +23,37 @@
 )
 
 REQUESTS_PER_SEND_WINDOW = 3
-"""Repeats of an ask within the time that a permit may be used: two may be lost."""
+"""Requests sent per ``send_within_s``, so that some of them may be lost."""
 
 GRACE_S = 0.5
-"""The holder refuses a wait that cannot be met; past this its answer is overdue."""
+"""Time after ``latest_start`` for the holder's own refusal to arrive."""
 
 
 class HolderTransport(Protocol):
-    """The way to the lease holder of an engine, on this VM or another."""
+    """Sends permit messages to the lease holder of an engine, here or on a peer."""
 
     def holder_of(self, engine_id: str) -> str | None:
         """Return the VM that holds the engine's lease, as far as is known."""
         ...
 
     def fencing_of(self, engine_id: str) -> int:
-        """Return the fencing number of the present holder, -1 if not known."""
+        """Return the fencing number of the current lease, -1 if not known."""
         ...
 
     def request_permit(
         self, holder: str, request: PermitAsk, timeout_s: float
     ) -> "Future[Any]":
-        """Send the first ask; the future brings a :class:`PermitReply`."""
+        """Send the first permit request; the future gives a :class:`PermitReply`."""
         ...
 
     def notify(self, holder: str, message: Any) -> None:
-        """Send a message that needs no answer."""
+        """Send a message without a reply."""
         ...
 
 
 @dataclass(frozen=True)
 class CallerDisconnected:
-    """The caller hung up while its request waited."""
+    """The caller disconnected while its request waited."""
 
 
 @dataclass(frozen=True)
@@ -66,12 +66,12 @@
 
 @dataclass(frozen=True)
 class VersionOutdated:
-    """The catalogue names another version now: the request moves to that one."""
+    """The catalogue has another version now, which the request has to use."""
 
 
 @dataclass(frozen=True)
 class HeldPermit:
-    """A permit with the moment, on this VM's clock, past which it is discarded."""
+    """A permit that expires at ``send_by`` on this VM's clock."""
 
     permit: Permit
     holder: str
@@ -84,28 +84,28 @@
 
 
 class DisconnectSignal:
-    """What a caller's hang-up interrupts: the wait or the run of its request."""
+    """Interrupts the wait or the run of a request when its caller disconnects."""
 
     def __init__(self) -> None:
         self.disconnected = False
         self._interrupt: Callable[[], None] | None = None
 
     def trigger(self) -> None:
-        """Tell that the caller hung up."""
+        """Record the disconnect and call the current callback."""
         self.disconnected = True
         interrupt = self._interrupt
         if interrupt is not None:
             interrupt()
 
     def on_disconnect(self, interrupt: Callable[[], None]) -> None:
-        """Call this at the hang-up, at once if it has happened."""
+        """Set the callback; call it at once if the caller has disconnected."""
         self._interrupt = interrupt
         if self.disconnected:
             interrupt()
 
 
 class PermitClient:
-    """Asks for permits and keeps the list of those in use."""
+    """Acquires and releases permits and tracks those in use."""
 
     def __init__(self, environment: Environment, links: HolderTransport) -> None:
         self._environment = environment
@@ -120,7 +120,7 @@
         disconnect: DisconnectSignal,
         is_current: Callable[[], bool],
     ) -> AcquireResult:
-        """Wait for a place on the engine, while the version is ``is_current``."""
+        """Wait for a permit on the engine while ``is_current()`` returns true."""
         holder = self._links.holder_of(engine_id)
         if holder is None:
             return TryAnotherEngine("the engine has no lease holder", retry_after_s=1.0)
@@ -128,10 +128,10 @@
         return wait.run(disconnect, is_current, self._keep)
 
     def release(self, held: HeldPermit, *, refused: bool = False) -> None:
-        """Tell the holder that the run is over or never happened.
+        """Notify the holder that the run ended or never started.
 
-        ``refused`` tells that the engine did not know the adapter: the holder's view
-        of it is old. A second release of the same permit is nothing.
+        ``refused`` says that the engine did not have the adapter, so that the holder's
+        view of it is outdated. Releasing a permit twice has no effect.
         """
         permit = held.permit
         with self._lock:
@@ -141,14 +141,14 @@
             self._links.notify(held.holder, message)
 
     def may_still_send(self, held: HeldPermit) -> bool:
-        """Check the send-by time, right before the first byte is sent."""
+        """Return whether the permit is not expired; called right before sending."""
         if self._environment.now() <= held.send_by:
             return True
         self._environment.metrics.permits_discarded.inc()
         return False
 
     def permits_on(self, engine_id: str) -> tuple[Permit, ...]:
-        """Return the permits in use on an engine, for a new lease holder."""
+        """Return the permits in use on an engine, for its new lease holder."""
         with self._lock:
             return tuple(
                 held.permit
@@ -166,7 +166,7 @@
 
 
 class _PermitWait:
-    """One wait at one holder."""
+    """One wait for a permit from one holder."""
 
     def __init__(
         self,
@@ -191,25 +191,25 @@
         is_current: Callable[[], bool],
         keep: Callable[[HeldPermit], None],
     ) -> AcquireResult:
-        """Ask, repeat the ask while waiting, and settle how the wait ends."""
+        """Send the request, repeat it while waiting, and return the result."""
         disconnect.on_disconnect(lambda: self._mailbox.put(CallerDisconnected()))
-        future = self._ask()
+        future = self._send_request()
         future.add_done_callback(self._mailbox.put)
         while True:
             try:
                 event = self._mailbox.get(timeout=self._repeat_s)
             except queue.Empty:
-                ending = self._repeat_or_end(is_current)
-                if ending is None:
+                result = self._repeat_or_end(is_current)
+                if result is None:
                     continue
                 self._give_up(future)
-                return ending
+                return result
             if isinstance(event, CallerDisconnected):
                 self._give_up(future)
                 return event
-            return self._settle(event, keep)
+            return self._result_of(event, keep)
 
-    def _ask(self) -> "Future[Any]":
+    def _send_request(self) -> "Future[Any]":
         left_s = max(0.0, self._item.latest_start - self._now())
         return self._links.request_permit(
             self._holder,
@@ -254,7 +254,7 @@
         self._links.notify(self._holder, self._message(left_s))
         return None
 
-    def _settle(
+    def _result_of(
         self,
         future: "Future[Any]",
         keep: Callable[[HeldPermit], None],
@@ -268,21 +268,21 @@
             return _refusal(reply)
         held = self._held(reply.permit)
         if self._links.fencing_of(self._engine_id) > reply.permit.fencing:
-            # Granted by a holder that does not know yet that its lease was taken: the
-            # new one may evict the adapter without seeing this permit.
+            # Granted by a holder that does not know yet that it lost the lease: the
+            # new one does not know this permit and may evict the adapter.
             self._cancel()
-            return TryAnotherEngine("the permit is of a former lease holder", 0.0)
+            return TryAnotherEngine("the permit is from a former lease holder", 0.0)
         keep(held)
         return held
 
     def _held(self, permit: Permit) -> HeldPermit:
-        """Count send-by from the last ask that the holder had seen.
+        """Count ``send_by`` from the last request that the holder had received.
 
-        This VM may have been paused while the permit lay in its socket: counted from
-        now, a permit given up on long ago would look fresh.
+        This VM may have been paused while the reply was in its socket buffer: counted
+        from now, an expired permit would seem valid.
         """
-        asked_at = self._sent_at_by_number.get(permit.ask_number, float("-inf"))
-        return HeldPermit(permit, self._holder, asked_at + permit.send_within_s)
+        sent_at = self._sent_at_by_number.get(permit.ask_number, float("-inf"))
+        return HeldPermit(permit, self._holder, sent_at + permit.send_within_s)
 
     def _cancel(self) -> None:
         self._links.notify(
@@ -291,7 +291,7 @@
         )
 
     def _give_up(self, future: "Future[Any]") -> None:
-        """Cancel the ask; a permit that still arrives goes back unused."""
+        """Cancel the request; a permit that still arrives is returned unused."""
         self._cancel()
 
         def return_late_permit(done: "Future[Any]") -> None:
--- a/bamboovale/entry/readiness.py
+++ b/bamboovale/entry/readiness.py
@@ -1,24 +1,23 @@
-"""Whether an entry VM may vouch for what it knows.
+"""Whether an entry VM may serve with the catalogue it has.
 
-Load pattern: the log is silent. Either it is down for everybody, and the last known
-catalogue is still in force, because nobody can change it; or this VM alone is cut off
-from it, and an edit may be in force elsewhere that this VM has not seen. Without the
-distinction a log outage stops all service, or a cut-off VM answers with old versions.
+If the log does not answer, either it is down for all VMs, and the last known catalogue
+cannot change; or it is unreachable only from this VM, which may miss an edit. Without
+the distinction, a log outage stops all service or a partitioned VM serves old versions.
 
-Peers tell the two apart: they say whether the log answers them, and how far they have
-read. A VM cut off from the log and from all peers cannot know and stops serving.
+Peers report whether they reach the log and how far they have read it. A VM that reaches
+neither the log nor a peer stops serving.
 """
 
 from dataclasses import dataclass
 
 STALE_AFTER_S = 5.0
-"""The bound on serving an old version while cut off. A change is in force everywhere
-within seconds otherwise; shorter, one lost poll and its back-off would stop service."""
+"""Bounds how long a partitioned VM serves an old version; covers a lost poll and its
+back-off."""
 
 
 @dataclass(frozen=True)
 class PeerReport:
-    """What one reachable peer says of its own log reading."""
+    """A reachable peer's report on its reading of the log."""
 
     log_reachable: bool
     catalogue_next_offset: int
@@ -26,7 +25,7 @@
 
 @dataclass(frozen=True)
 class ReadinessInputs:
-    """What is known here; ``log_silent_s`` since the log last answered this VM."""
+    """State of this VM; ``log_silent_s`` is the time since the log last answered."""
 
     catalogue_complete: bool
     vm_list_read: bool
@@ -37,7 +36,7 @@
 
 
 def may_serve(inputs: ReadinessInputs) -> bool:
-    """Tell whether this VM may take requests."""
+    """Return whether this VM may serve requests."""
     if not inputs.catalogue_complete or not inputs.vm_list_read:
         return False
     if inputs.log_silent_s <= STALE_AFTER_S or inputs.other_entry_vms == 0:
@@ -49,9 +48,9 @@
 
 
 def log_is_down(inputs: ReadinessInputs) -> bool:
-    """Tell whether a log that does not answer here is down for everybody.
+    """Return whether a log that does not answer here is down for all VMs.
 
-    With no peer in reach the silence may be this VM's alone.
+    Without a reachable peer, the log may be unreachable only from here.
     """
     if inputs.other_entry_vms == 0:
         return True
--- a/bamboovale/entry/request_gate.py
+++ b/bamboovale/entry/request_gate.py
@@ -1,9 +1,8 @@
-"""Keeps callers that send slowly away from the threads that serve.
+"""Protects the threads of the HTTP server against slow senders (slowloris).
 
-cheroot gives a connection to a thread before its request has arrived. As many callers
-as there are threads, each with half a request sent, would keep everybody else waiting;
-one byte of theirs now and then would do so without end. Here a connection waits for the
-whole head, and a body of ordinary size, without a thread and for a bounded time.
+cheroot assigns a connection to a thread before its request has arrived, so callers that
+send incomplete requests could occupy all threads. Here a connection waits without a
+thread, for a bounded time, for its complete head and a body of moderate size.
 """
 
 import contextlib
@@ -19,17 +18,16 @@
 from cheroot.server import HTTPConnection
 
 REQUEST_TIMEOUT_S = 5.0
-"""From the first byte (or the connecting) to the whole request; a caller on a poor
-mobile link needs about a second."""
+"""Time from the connect, or the first byte, to the complete request."""
 
 MAX_WAITING_CONNECTIONS = 1000
-"""Connections that wait at once; each costs a descriptor. The oldest goes first."""
+"""Waiting connections, one descriptor each; beyond it the oldest is closed."""
 
 MAX_BUFFERED_BODY_BYTES = 32 * 1024
-"""Larger bodies are read by a thread: the kernel's buffer may not hold them whole."""
+"""Larger bodies are read by a thread: they may not fit the kernel's buffer."""
 
 MAX_HEAD_BYTES = 32 * 1024
-"""Beyond it a thread takes the request, and refuses it."""
+"""A larger head is passed to a thread, which refuses it."""
 
 MIN_BODY_BYTES_PER_S = 64 * 1024
 POLL_INTERVAL_S = 0.25
@@ -40,9 +38,9 @@
 
 
 def is_complete(data: bytes) -> bool:
-    r"""Tell whether a thread can take the request without waiting for its caller.
+    r"""Return whether a thread can handle the request without waiting for its caller.
 
-    That goes for what can only be refused as well: the server knows how.
+    True for invalid requests as well, which the server refuses.
 
     >>> is_complete(b"GET / HTTP/1.1\r\nHost: x\r\n")
     False
@@ -57,33 +55,33 @@
 
 
 def _body_length(head: bytes) -> int:
-    """Return the length of the body to wait for; 0 if it is not said or not coming."""
+    """Return the length of the body to wait for, 0 if unknown or not sent yet."""
     fields = [line.partition(b":") for line in head.split(b"\r\n")]
     value_by_name = {name: value.strip() for name, _, value in fields}
     if b"expect" in value_by_name:
-        # The caller waits for the server to say that it may go on.
+        # The caller waits for 100 Continue before it sends the body.
         return 0
     length = value_by_name.get(b"content-length", b"")
-    # Twelve digits are more than is ever waited for.
+    # Bounds the conversion; twelve digits exceed any limit.
     return int(length[:12]) if length.isdigit() else 0
 
 
 @dataclass(frozen=True)
 class WaitingConnection:
-    """A connection whose request has not arrived whole."""
+    """A connection whose request is incomplete, and the time to close it."""
 
     connection: HTTPConnection
     until: float
 
 
 class RequestGate:
-    """Holds connections until their request is whole, on one thread."""
+    """Holds connections until their request is complete, on one thread."""
 
     def __init__(self, admit: Callable[[HTTPConnection], None]) -> None:
         self._admit = admit
         self._epoll = select.epoll()
         self._lock = threading.Lock()
-        # In the order of their coming, so the first is the oldest.
+        # In order of arrival: the first is the oldest.
         self._waiting_by_descriptor: dict[int, WaitingConnection] = {}
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, name="gate", daemon=True)
@@ -93,7 +91,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """End the thread and drop what waits."""
+        """Stop the thread and close the waiting connections."""
         self._stopping.set()
         self._thread.join()
         for descriptor in list(self._waiting_by_descriptor):
@@ -101,7 +99,7 @@
         self._epoll.close()
 
     def offer(self, connection: HTTPConnection) -> None:
-        """Admit a connection, at once if its request is there."""
+        """Admit a connection once its request is complete."""
         if connection.rfile.has_data() or _has_complete_request(connection.socket):
             self._admit(connection)
             return
@@ -109,13 +107,13 @@
         waiting = WaitingConnection(connection, time.monotonic() + REQUEST_TIMEOUT_S)
         with self._lock:
             self._waiting_by_descriptor[descriptor] = waiting
-            crowded = len(self._waiting_by_descriptor) > MAX_WAITING_CONNECTIONS
+            is_full = len(self._waiting_by_descriptor) > MAX_WAITING_CONNECTIONS
             oldest = next(iter(self._waiting_by_descriptor))
-        # Edge-triggered: an event for each arrival, not for what lies there unread.
-        # Bytes that came since they were looked for cause one as well.
+        # Edge-triggered: one event per arrival, although the bytes stay unread. Bytes
+        # that arrived since the check above cause an event as well.
         events = select.EPOLLIN | select.EPOLLRDHUP | select.EPOLLET
         self._epoll.register(descriptor, events)
-        if crowded:
+        if is_full:
             self._drop(oldest)
 
     def _run(self) -> None:
@@ -144,7 +142,7 @@
                 if waiting.until <= now
             ]
         for descriptor in overdue:
-            # Of a VM that was frozen the clock has gone on; what came meanwhile counts.
+            # If the VM was paused, the request may have arrived in the meantime.
             self._poll(descriptor, ended=False)
             self._drop(descriptor)
 
@@ -158,7 +156,7 @@
         waiting.connection.close()
 
     def _take(self, descriptor: int) -> WaitingConnection | None:
-        """Take a connection out; whoever gets it has it alone."""
+        """Remove and return a connection; only one thread gets it."""
         with self._lock:
             waiting = self._waiting_by_descriptor.pop(descriptor, None)
         if waiting is not None:
@@ -168,22 +166,22 @@
 
 
 def _has_complete_request(connection: socket.socket) -> bool:
-    """Look at what has arrived without taking it; an end counts as whole."""
+    """Peek at the received bytes; the end of the stream counts as complete."""
     try:
         poll = select.poll()
         poll.register(connection, select.POLLIN)
-        # Python's read would wait for the socket's timeout, also with MSG_DONTWAIT.
+        # recv() waits for the socket's timeout even with MSG_DONTWAIT.
         if not poll.poll(0):
             return False
         size = MAX_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES
         data = connection.recv(size, socket.MSG_PEEK)
     except (OSError, ValueError):
-        return True  # broken: the thread that takes it finds out and closes it
+        return True  # broken: the thread that handles it closes it
     return not data or is_complete(data)
 
 
 class GatedServer(wsgi.Server):
-    """An HTTP server whose threads get whole requests."""
+    """An HTTP server whose threads get only complete requests."""
 
     def __init__(self, *arguments: Any, **options: Any) -> None:
         super().__init__(*arguments, **options)
@@ -195,7 +193,7 @@
         self._gate.start()
 
     def process_conn(self, conn: HTTPConnection) -> None:
-        """Take a new connection, or a kept one on which something arrived."""
+        """Pass a new or a readable idle connection to the gate."""
         self._gate.offer(conn)
 
     def stop(self) -> None:
@@ -208,17 +206,17 @@
 
 @contextlib.contextmanager
 def bounded_read(environ: Mapping[str, Any], size: int) -> Iterator[None]:
-    """Break the connection off if the block, which reads a body, takes too long.
+    """Shut the connection down if the block, which reads a body, takes too long.
 
-    The socket's timeout counts from the last byte, so a caller that sends one now and
-    then would keep the thread for ever. The read ends with an error.
+    The socket's timeout restarts with each byte, so that a slow sender could hold the
+    thread indefinitely. The read then fails with an error.
     """
     connection = environ.get("bamboovale.socket")
-    if connection is None or _has_waited(environ, size):
+    if connection is None or _was_buffered(environ, size):
         yield
         return
     seconds = REQUEST_TIMEOUT_S + size / MIN_BODY_BYTES_PER_S
-    timer = threading.Timer(seconds, _break_off, (connection,))
+    timer = threading.Timer(seconds, _shut_down, (connection,))
     timer.daemon = True
     timer.start()
     try:
@@ -227,12 +225,12 @@
         timer.cancel()
 
 
-def _has_waited(environ: Mapping[str, Any], size: int) -> bool:
-    """Tell whether the gate has waited for this body."""
+def _was_buffered(environ: Mapping[str, Any], size: int) -> bool:
+    """Return whether the gate has waited for this body."""
     is_sent_later = "HTTP_EXPECT" in environ or "HTTP_TRANSFER_ENCODING" in environ
     return size <= MAX_BUFFERED_BODY_BYTES and not is_sent_later
 
 
-def _break_off(connection: socket.socket) -> None:
+def _shut_down(connection: socket.socket) -> None:
     with contextlib.suppress(OSError):
         connection.shutdown(socket.SHUT_RD)
--- a/bamboovale/entry/request_lifecycle.py
+++ b/bamboovale/entry/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""What model requests and plain calls have in common around their run."""
+"""Admission, idempotency key and clean-up around the run of any request."""
 
 import contextlib
 import itertools
@@ -13,21 +13,21 @@
 
 
 class RequestLifecycle:
-    """Takes a request in, claims its key if it has one, and frees both at its end."""
+    """Admits a request, claims its key if it has one, and releases both at its end."""
 
     def __init__(
         self,
         environment: Environment,
         decisions: DecisionFacade,
-        keyed: IdempotencyKeyHandler,
+        keys: IdempotencyKeyHandler,
     ) -> None:
         self._incarnation = environment.incarnation[:6]
         self._decisions = decisions
-        self._keyed = keyed
+        self._keys = keys
         self._attempt_numbers = itertools.count(1)
 
     def new_attempt_id(self, request: CallerRequest) -> str:
-        """Return an id that no other attempt of any request has."""
+        """Return an attempt id that is unique across requests and restarts."""
         number = next(self._attempt_numbers)
         return f"{request.request_id}.{self._incarnation}{number:x}"
 
@@ -39,7 +39,7 @@
         limits: Limits,
         run: Callable[[], CallerAnswer],
     ) -> CallerAnswer:
-        """Run an admitted request; its place is held until its answer has been sent."""
+        """Admit and run a request; it counts as open until its answer has been sent."""
         attempt_id = self.new_attempt_id(request)
         refusal = self._decisions.admit(
             Arrival(
@@ -57,7 +57,7 @@
             if request.key is None:
                 answer = run()
             else:
-                answer = self._keyed.answer(request, attempt_id, owner, run)
+                answer = self._keys.answer(request, attempt_id, owner, run)
             held = stack.pop_all()
         answer.chunks = ChunksWithCleanup(answer.chunks, held.close)
         return answer
--- a/bamboovale/entry/service_calls.py
+++ b/bamboovale/entry/service_calls.py
@@ -1,4 +1,4 @@
-"""Calls of plain services: any method and path below ``/services/NAME/``."""
+"""Proxies calls below ``/services/NAME/`` to endpoints of plain services."""
 
 from collections.abc import Iterable
 
@@ -27,7 +27,7 @@
 SAFE_METHODS = frozenset(("GET", "HEAD", "OPTIONS"))
 
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
-"""Answers are read whole, so that half an answer is never passed on as one."""
+"""Answers are buffered, so that a truncated one is never forwarded."""
 
 MAX_TRIES = 3
 
@@ -67,7 +67,7 @@
         self._lifecycle = lifecycle
 
     def answer(self, request: CallerRequest, raw_path: str) -> CallerAnswer:
-        """Return the answer to a call; ``raw_path`` as the caller wrote it."""
+        """Return the answer to a call; ``raw_path`` is the path before URL decoding."""
         name, _, rest = raw_path[len(PREFIX) :].partition("/")
         catalogue = self._views.catalogue
         entry = None if catalogue is None else catalogue.service_by_name.get(name)
@@ -88,7 +88,7 @@
         entry: ServiceEntry,
         path: str,
     ) -> CallerAnswer:
-        """Call one endpoint after another while the call may be repeated."""
+        """Call one endpoint after another while the call may be retried."""
         call = _Call(request, entry, path, _is_idempotent(request, entry))
         while True:
             result = self._try_once(call)
@@ -100,7 +100,7 @@
             return CallerAnswer.refusal(refusal, request.request_id)
 
     def _try_once(self, call: "_Call") -> Result[CallerAnswer, Refusal | None]:
-        """Call one endpoint; Err(None) means: try another one."""
+        """Call one endpoint; Err(None) if another one is to be tried."""
         attempt_id = self._lifecycle.new_attempt_id(call.request)
         endpoint_id = self._decisions.choose_endpoint(
             call.entry.pool,
@@ -192,7 +192,7 @@
             timeout_s = min(timeout_s, max(0.01, deadline_s - passed))
         return timeout_s
 
-    # Ends.
+    # Failures.
 
     def _no_endpoint(self, call: "_Call") -> Refusal:
         return Refusal(
@@ -214,7 +214,7 @@
         )
 
     def _after_break(self, call: "_Call", reason: str) -> Refusal | None:
-        """Repeat an idempotent call within the budget; never one that is not."""
+        """Return None to retry an idempotent call within the budget, else a refusal."""
         call.tries += 1
         if not call.idempotent or call.disconnect.disconnected:
             return Refusal(
@@ -234,7 +234,7 @@
 
 
 class _Call:
-    """One call and what it has tried."""
+    """State of one call across its tries."""
 
     def __init__(
         self,
@@ -254,14 +254,14 @@
 
 
 def _is_idempotent(request: CallerRequest, entry: ServiceEntry) -> bool:
-    """Judge by the caller's mark, then by the method, then by the entry."""
+    """Decide by the caller's header, then by the method, then by the entry."""
     if request.idempotent is not None:
         return request.idempotent
     return request.method in SAFE_METHODS or entry.idempotent
 
 
 def _end_to_end(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Drop what belongs to one connection, and lengths that are set anew."""
+    """Drop hop-by-hop headers and those that are set again."""
     pairs = list(headers)
     named = {
         token.strip().lower()
--- a/bamboovale/entry/state_dump.py
+++ b/bamboovale/entry/state_dump.py
@@ -1,4 +1,4 @@
-"""The state of an entry VM as JSON that a person can read."""
+"""Collects the state of an entry VM as JSON for operators."""
 
 import dataclasses
 from collections.abc import Callable
@@ -11,11 +11,11 @@
 from bamboovale.views import Views
 
 ASK_TIMEOUT_S = 2.0
-"""A task that does not answer by then is shown as busy; the dump still comes."""
+"""An actor that does not answer in time is listed as such in the dump."""
 
 
 class StateDump:
-    """Collects the state of every task; each part says what it could not get."""
+    """Collects the state of all components; errors are listed per component."""
 
     def __init__(self, environment: Environment, views: Views) -> None:
         self._environment = environment
@@ -25,15 +25,15 @@
         self._read_by_name: dict[str, Callable[[], Any]] = {}
 
     def add_actor(self, name: str, actor: pykka.ActorRef, question: Any) -> None:
-        """Ask an actor for its part."""
+        """Add a part that ``actor`` returns for ``question``."""
         self._question_by_name[name] = (actor, question)
 
     def add(self, name: str, read: Callable[[], Any]) -> None:
-        """Call a function for its part."""
+        """Add a part that ``read`` returns."""
         self._read_by_name[name] = read
 
     def collect(self) -> dict[str, Any]:
-        """Return the whole state."""
+        """Return the complete state."""
         parts: dict[str, Any] = {"process": self._process()}
         for name, (actor, question) in self._question_by_name.items():
             parts[name] = ask_actor(actor, question)
@@ -54,7 +54,7 @@
 
 
 def ask_actor(actor: pykka.ActorRef, question: Any) -> Any:
-    """Ask an actor, or say why it has no answer."""
+    """Return the answer of an actor, or the reason why there is none."""
     try:
         return actor.ask(question, timeout=ASK_TIMEOUT_S)
     except (pykka.Timeout, pykka.ActorDeadError) as error:
@@ -62,7 +62,7 @@
 
 
 def as_json(value: Any) -> Any:
-    """Return data classes as maps."""
+    """Return data classes, also those within a dict, as dicts."""
     if dataclasses.is_dataclass(value) and not isinstance(value, type):
         return dataclasses.asdict(value)
     if isinstance(value, dict):
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -1,4 +1,4 @@
-"""One entry VM: its tasks, how they are joined, its start, drain and stop."""
+"""One entry VM: builds, starts, drains and stops its components."""
 
 import logging
 import time
@@ -79,22 +79,21 @@
 NOTICE_STREAM = "notices"
 """Crash notices, for VMs that start later than the crash."""
 
-LEASE_PACE_S = 0.2
-"""Pause between reads of lease records: a fourth of the renewal interval, so a renewal
-is read back in good time, and every read brings the records of several VMs."""
+LEASE_READ_PAUSE_S = 0.2
+"""Pause between reads of lease records: well below the renewal interval, but long
+enough for one read to return the records of several VMs."""
 
 CATALOGUE_RECORDS_PER_READ = 2
-"""One edit may set a thousand entries: half a megabyte, and several times that once
-parsed. A VM that starts would hold all edits on the log like that at once."""
+"""Bounds the memory of a starting VM: one edit may set a thousand entries."""
 
 ADMIN_THREADS = 6
-LOOK_EVERY_S = 0.05
+DRAIN_POLL_INTERVAL_S = 0.05
 
 logger = logging.getLogger(__name__)
 
 
 class EntryVM:
-    """Builds and joins the tasks of an entry VM."""
+    """Builds and connects the components of an entry VM."""
 
     def __init__(self, environment: Environment) -> None:
         settings = environment.settings
@@ -145,7 +144,7 @@
             ),
         )
         self._start_actors()
-        self._build_callers_side()
+        self._build_listeners()
         self._build_followers()
 
     # Building.
@@ -206,12 +205,12 @@
             self._appender_by_stream[CLAIM_STREAM],
         )
 
-    def _build_callers_side(self) -> None:
+    def _build_listeners(self) -> None:
         environment = self.environment
         settings = environment.settings
         routes = HolderRouter(settings.id, self.views, self._holders, self._links)
         self._permits = PermitClient(environment, routes)
-        keyed = IdempotencyKeyHandler(
+        key_handler = IdempotencyKeyHandler(
             environment,
             self._claims,
             self._answers,
@@ -233,7 +232,7 @@
                 permits=self._permits,
                 connections=self._connections,
                 disconnects=self._disconnects,
-                lifecycle=RequestLifecycle(environment, self.decisions, keyed),
+                lifecycle=RequestLifecycle(environment, self.decisions, key_handler),
                 crash_reporter=crash_reporter,
             )
         )
@@ -307,7 +306,7 @@
                 LEASE_STREAM,
                 lambda batch, at: tell(self._leases, LeaseBatchRead(batch, at)),
                 start_behind=START_BEHIND,
-                pace_s=LEASE_PACE_S,
+                pace_s=LEASE_READ_PAUSE_S,
             ),
             follow(
                 CLAIM_STREAM,
@@ -319,7 +318,7 @@
     # Start, drain, stop.
 
     def start(self) -> None:
-        """Open the ports and begin to read; raises OSError for a port in use."""
+        """Open the ports and start all threads; raises OSError for a port in use."""
         handler = PeerHandler(
             self.views,
             PeerTargets(
@@ -351,10 +350,10 @@
         self._ticker.start()
 
     def drain(self) -> bool:
-        """Stop taking part without cutting off a request; False if time ran out.
+        """Finish all requests before a stop; return False if time ran out.
 
-        Callers may keep the answer of ``GET /v1/entries`` for a while and connect
-        here meanwhile, so requests are taken until the last such answer is old.
+        Callers may cache the answer of ``GET /v1/entries``, so requests are accepted
+        until the last such answer has expired.
         """
         settings = self.environment.settings
         self.environment.metrics.drains.inc()
@@ -366,11 +365,11 @@
         self._caller_app.closed = True
         give_up_at = self.environment.now() + settings.drain_timeout_s
         while self._caller_app.running and self.environment.now() < give_up_at:
-            time.sleep(LOOK_EVERY_S)
+            time.sleep(DRAIN_POLL_INTERVAL_S)
         return not self._caller_app.running
 
     def stop(self) -> None:
-        """Close everything."""
+        """Stop all threads and actors and close all connections."""
         for follower in self._followers:
             follower.stop()
         self._list_reader.stop()
@@ -386,7 +385,7 @@
         self._connections.close()
         self._http.close()
 
-    # Joints between the tasks; called from their threads, so they only tell.
+    # Callbacks between the components; called on their threads, must not block.
 
     def _on_membership(self) -> None:
         self.decisions.on_membership()
