--- a/bamboovale/engines/__init__.py
+++ b/bamboovale/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Model engines: client, lease holder's state, orders."""
+"""Model engines: client, lease holder, orders and load grants."""
--- a/bamboovale/engines/client.py
+++ b/bamboovale/engines/client.py
@@ -1,7 +1,7 @@
-"""Orders to model engines and readings of their state.
+"""HTTP client for model engines: loads, evictions and reading their state.
 
 The interface follows the published vLLM server (``load_lora_adapter``,
-``unload_lora_adapter``); another engine fits behind the same :class:`EngineClient`.
+``unload_lora_adapter``); other engines implement the same :class:`EngineClient`.
 """
 
 from dataclasses import dataclass
@@ -15,17 +15,17 @@
 from bamboovale.http_client import HttpClient, never_connected
 
 STATE_TIMEOUT_S = 1.0
-"""An engine that does not tell its state within a second is treated as unreachable."""
+"""An engine that does not report its state in time counts as unreachable."""
 
 LOAD_TIMEOUT_S = 30.0
-"""A load includes the wait at a slow weight store; past this it is given up on."""
+"""Includes the time that a slow weight store takes."""
 
 UNLOAD_TIMEOUT_S = 5.0
 FENCING_HEADER = "X-Fencing-Token"
 
 
 class OrderFailure(StrEnum):
-    """Why an order brought no success."""
+    """Why an order did not succeed."""
 
     REFUSED = "refused"
     FENCED = "fenced"
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class EngineAddress:
-    """Where an engine listens."""
+    """The id and the HTTP address of an engine."""
 
     id: str
     host: str
@@ -45,10 +45,10 @@
 
 
 class EngineClient(Protocol):
-    """What a lease holder asks of an engine."""
+    """The operations of an engine that a lease holder needs."""
 
     def read_state(self, engine: EngineAddress) -> Result[EngineView, str]:
-        """Return the engine's exact state."""
+        """Return the engine's current state, or why it could not be read."""
         ...
 
     def load(
@@ -72,13 +72,13 @@
 
 
 class VllmEngineClient:
-    """Orders over the HTTP interface of a vLLM-style server."""
+    """Client of the HTTP interface of a vLLM-style server."""
 
     def __init__(self, http: HttpClient) -> None:
         self._http = http
 
     def read_state(self, engine: EngineAddress) -> Result[EngineView, str]:
-        """Return the engine's exact state, or why it could not be read."""
+        """Return the engine's current state, or why it could not be read."""
         try:
             status, answer = self._http.request_json(
                 "GET",
--- a/bamboovale/engines/holder.py
+++ b/bamboovale/engines/holder.py
@@ -1,7 +1,7 @@
-"""The lease holder of one engine: the only task that orders loads and evictions there.
+"""The lease holder of one engine: the only actor that orders loads and evictions there.
 
-The decisions are made by :class:`EngineDispatch`; this actor brings it the events
-(asks of entry VMs, the engine's state, ends of orders) and carries out its actions.
+:class:`EngineDispatch` makes the decisions; this actor feeds it events (permit requests
+of entry VMs, the engine's state, completed orders) and executes its actions.
 """
 
 import logging
@@ -43,34 +43,35 @@
 from bamboovale.models import AdapterVersion, WorkClass
 from bamboovale.peers.messages import LoadTurnGiven, PermitAsk, PermitReply
 
-VIEW_INTERVAL_S = 0.5
-"""How often the engine's exact state is read: finds cold restarts within a second."""
+POLL_INTERVAL_S = 0.5
+"""Interval at which the engine's state is read; bounds the detection of restarts."""
 
-MISSED_VIEWS = 2
-"""Readings in a row without an answer after which nothing is queued here: about a
-second. A restart takes several; one missed reading may be a lost packet."""
+MAX_MISSED_POLLS = 2
+"""Failed polls in a row after which the engine counts as unreachable; one failure may
+be a lost packet."""
 
 ORDER_THREADS = 3
-"""One reads the state while two loads run, the store's full-speed number."""
+"""One thread polls the state while two loads run."""
 
 
 class LoadGrants(Protocol):
-    """Grants at the weight store, wherever their scheduler is."""
+    """Requests and releases load grants, wherever their scheduler runs."""
 
     def request(self, engine_id: str, lora_name: str, weight: float) -> None:
-        """Ask for a grant; :class:`LoadGrantReceived` answers."""
+        """Request a grant; it arrives as :class:`LoadGrantReceived`."""
         ...
 
     def release(self, grant: LoadTurnGiven, *, used: bool, loaded: bool) -> None:
-        """Give a grant back."""
+        """Return a grant to the scheduler."""
         ...
 
 
 @dataclass
 class WaitingRequest:
-    """An ask that waits: the last time its entry VM showed that it still waits.
+    """A permit request that waits for a place.
 
-    ``stalled_since`` is when it came, if its adapter was not loaded then.
+    ``last_seen_at`` is when its entry VM last sent or repeated it. ``stalled_since``
+    is its arrival time if its adapter was not loaded then.
     """
 
     entry_vm: str
@@ -81,7 +82,7 @@
 
 
 class EngineHolder(MessageActor):
-    """Owns the dispatch of one engine for as long as the lease is held."""
+    """Runs the dispatch of one engine while this VM holds its lease."""
 
     def __init__(
         self,
@@ -111,9 +112,9 @@
             thread_name_prefix=f"orders-{engine.id}",
         )
         self._boot_id: str | None = None
-        self._reading_view = False
-        self._missed_views = 0
-        self._next_view_at = 0.0
+        self._polling = False
+        self._missed_polls = 0
+        self._next_poll_at = 0.0
         self._next_hint_at = 0.0
         self._register_handlers()
 
@@ -125,37 +126,39 @@
         self.handle(EntryVMGone, self._on_entry_vm_gone)
         self.handle(PermitsReported, self._on_permits_reported)
         self.handle(ViewRead, self._on_view)
-        self.handle(OrderCompleted, self._on_order_ended)
+        self.handle(OrderCompleted, self._on_order_completed)
         self.handle(LoadGrantReceived, self._on_load_grant)
         self.handle(EngineLeaving, self._on_leaving)
         self.handle(VersionChanged, self._on_version_changed)
         self.handle(DumpState, self._on_dump)
 
     def on_start(self) -> None:
-        """Evict nothing until every permit of the last holder has run out unsent.
+        """Evict nothing until the permits of the previous holder are used or expired.
 
-        A permit that the last holder granted may still be on its way. Until its
-        send-by time has passed, the engine's running list does not show it.
+        A permit that the previous holder granted may still be in flight. The engine
+        does not report its run before it has started.
         """
         margin_s = self._environment.settings.lease_margin_s
         wait_s = self._config.send_within_s + margin_s
         now = self._now()
         self._dispatch.set_may_evict_from(now + wait_s)
-        # After a hand-over the lease is not in force yet: what asks now waits for it.
+        # After a hand-over the lease is not valid yet: new requests wait until it is.
         self._dispatch.set_may_grant(self._may_grant(), now)
-        self._read_view()
+        self._poll()
 
     def on_stop(self) -> None:
-        """Send what waits here to the next holder."""
+        """Refuse the waiting requests, so that they go to the next holder."""
         for request_id, queued in self._queued_by_id.items():
-            queued.reply(_elsewhere(request_id, "the lease on the engine has moved"))
+            queued.reply(
+                _try_another_engine(request_id, "the lease on the engine has moved")
+            )
         self._queued_by_id.clear()
         self._executor.shutdown(wait=False, cancel_futures=True)
 
     def _now(self) -> float:
         return self._environment.now()
 
-    # Asks of entry VMs.
+    # Permit requests of entry VMs.
 
     def _on_request(self, received: PermitRequestReceived) -> None:
         request = received.request
@@ -165,9 +168,11 @@
             queued.last_seen_at = self._now()
             return
         if received.reply is None:
-            return  # a repeat that crossed our answer
+            return  # a repeat that crossed our reply
         if self._is_unreachable():
-            received.reply(_elsewhere(request.request_id, "the engine does not answer"))
+            received.reply(
+                _try_another_engine(request.request_id, "the engine does not answer")
+            )
             return
         now = self._now()
         self._queued_by_id[request.request_id] = WaitingRequest(
@@ -180,94 +185,94 @@
         if item.target.lora_name not in self._dispatch.hint(now).loaded:
             self._queued_by_id[request.request_id].stalled_since = now
         self._source_by_lora_name[item.target.lora_name] = request.source
-        self._carry_out(self._dispatch.on_request(item, now))
+        self._execute(self._dispatch.on_request(item, now))
 
     def _on_cancel(self, message: CancelReceived) -> None:
         now = self._now()
         self._queued_by_id.pop(message.request_id, None)
-        self._carry_out(self._dispatch.on_cancel(message.request_id, now))
+        self._execute(self._dispatch.on_cancel(message.request_id, now))
         for permit in self._dispatch.permits().values():
             if permit.request_id == message.request_id:
-                self._carry_out(self._dispatch.on_release(permit.permit_id, now))
+                self._execute(self._dispatch.on_release(permit.permit_id, now))
 
     def _on_release(self, message: ReleaseReceived) -> None:
         if message.refused:
-            # The engine has restarted or lost the adapter; the next regular look may
-            # be half a second away, and every grant until then would be refused too.
-            self._read_view()
-        self._carry_out(self._dispatch.on_release(message.permit_id, self._now()))
+            # The engine restarted or lost the adapter: until the next poll, all grants
+            # for it would be refused too.
+            self._poll()
+        self._execute(self._dispatch.on_release(message.permit_id, self._now()))
 
     def _on_entry_vm_gone(self, message: EntryVMGone) -> None:
         for request_id, queued in list(self._queued_by_id.items()):
             if queued.entry_vm == message.entry_vm:
                 self._drop(request_id)
-        self._carry_out(self._dispatch.on_entry_gone(message.entry_vm, self._now()))
+        self._execute(self._dispatch.on_entry_gone(message.entry_vm, self._now()))
 
     def _on_permits_reported(self, message: PermitsReported) -> None:
         permits = list(message.permits)
-        self._carry_out(self._dispatch.on_permits_adopted(permits, self._now()))
+        self._execute(self._dispatch.on_permits_adopted(permits, self._now()))
 
-    def _drop_silent_asks(self, now: float) -> None:
-        """Drop asks whose entry VM stopped repeating them: it died or gave up."""
-        silent_since = now - self._config.send_within_s
+    def _drop_expired_requests(self, now: float) -> None:
+        """Drop requests that their entry VM no longer repeats."""
+        expired_before = now - self._config.send_within_s
         for request_id, queued in list(self._queued_by_id.items()):
-            if queued.last_seen_at < silent_since:
+            if queued.last_seen_at < expired_before:
                 self._drop(request_id)
-                self._carry_out(self._dispatch.on_cancel(request_id, now))
+                self._execute(self._dispatch.on_cancel(request_id, now))
 
     def _is_unreachable(self) -> bool:
-        return self._missed_views >= MISSED_VIEWS
+        return self._missed_polls >= MAX_MISSED_POLLS
 
-    def _send_queue_away(self) -> None:
-        """Send what waits for an engine that is down to the others.
+    def _drop_queue(self) -> None:
+        """Let the requests that wait for an unreachable engine try other engines.
 
-        It would wait here for the engine's restart and its loads, while other engines
-        have places; callers see stalls of ten seconds and more.
+        Guards against long stalls: they would wait here for the engine's restart.
         """
         now = self._now()
         for request_id in list(self._queued_by_id):
             self._drop(request_id)
-            self._carry_out(self._dispatch.on_cancel(request_id, now))
+            self._execute(self._dispatch.on_cancel(request_id, now))
 
     def _drop(self, request_id: str) -> None:
-        """Stop queueing a request, and say so.
-
-        An entry VM that seemed silent may only be slow, and would wait for nothing.
-        """
+        """Drop a request and reply, since its entry VM may still wait for it."""
         queued = self._queued_by_id.pop(request_id)
-        queued.reply(_elsewhere(request_id, "the engine or the entry VM is silent"))
+        queued.reply(
+            _try_another_engine(
+                request_id, "the engine or the entry VM does not respond"
+            )
+        )
 
     # The engine.
 
     def _on_tick(self, _: Tick) -> None:
         now = self._now()
         valid = self._orders.lease_valid()
-        self._carry_out(self._dispatch.set_may_order(valid, now))
-        self._carry_out(self._dispatch.set_may_grant(self._may_grant(), now))
-        self._drop_silent_asks(now)
-        self._carry_out(self._dispatch.on_tick(now))
-        if now >= self._next_view_at:
-            self._read_view()
+        self._execute(self._dispatch.set_may_order(valid, now))
+        self._execute(self._dispatch.set_may_grant(self._may_grant(), now))
+        self._drop_expired_requests(now)
+        self._execute(self._dispatch.on_tick(now))
+        if now >= self._next_poll_at:
+            self._poll()
         if now >= self._next_hint_at:
             self._next_hint_at = now + self._environment.settings.hint_interval_s
             self._on_hint(self._dispatch.hint(now))
 
-    def _read_view(self) -> None:
-        if self._reading_view:
+    def _poll(self) -> None:
+        if self._polling:
             return
-        self._reading_view = True
-        self._next_view_at = self._now() + VIEW_INTERVAL_S
+        self._polling = True
+        self._next_poll_at = self._now() + POLL_INTERVAL_S
         self._executor.submit(self._orders.read_view, self.actor_ref, ViewRead)
 
     def _on_view(self, message: ViewRead) -> None:
-        self._reading_view = False
+        self._polling = False
         view = message.view
         if view is None:
-            self._missed_views += 1
+            self._missed_polls += 1
             if self._is_unreachable():
-                self._send_queue_away()
+                self._drop_queue()
             return
-        self._missed_views = 0
+        self._missed_polls = 0
         if view.boot_id != self._boot_id:
             logging.getLogger(__name__).info(
                 "engine %s runs as boot %s (was %s)",
@@ -276,30 +281,30 @@
                 self._boot_id,
             )
             self._boot_id = view.boot_id
-        self._carry_out(self._dispatch.on_engine_view(view, self._now()))
+        self._execute(self._dispatch.on_engine_view(view, self._now()))
 
-    def _on_order_ended(self, ended: OrderCompleted) -> None:
+    def _on_order_completed(self, completed: OrderCompleted) -> None:
         now = self._now()
-        name = ended.lora_name
-        if ended.order is Load:
-            self._release_grant(used=ended.sent, loaded=ended.succeeded)
-            if ended.succeeded:
-                self._carry_out(self._dispatch.on_loaded(name, now))
+        name = completed.lora_name
+        if completed.order is Load:
+            self._release_grant(used=completed.sent, loaded=completed.succeeded)
+            if completed.succeeded:
+                self._execute(self._dispatch.on_loaded(name, now))
             else:
-                self._carry_out(self._dispatch.on_load_failed(name, now, 0.0))
-        elif ended.succeeded:
-            self._carry_out(self._dispatch.on_unloaded(name, now))
+                self._execute(self._dispatch.on_load_failed(name, now, 0.0))
+        elif completed.succeeded:
+            self._execute(self._dispatch.on_unloaded(name, now))
         else:
             self._release_grant(used=False, loaded=False)
-            self._carry_out(self._dispatch.on_unload_failed(name, now))
-        if not ended.succeeded:
-            self._read_view()
+            self._execute(self._dispatch.on_unload_failed(name, now))
+        if not completed.succeeded:
+            self._poll()
 
     def _on_load_grant(self, message: LoadGrantReceived) -> None:
-        """Use a grant; it may go to another adapter than it was asked for."""
+        """Use a grant; the dispatch may load another adapter than requested."""
         self._grants.append(message.grant)
         name = message.grant.lora_name
-        self._carry_out(self._dispatch.on_load_slot(name, self._now()))
+        self._execute(self._dispatch.on_load_slot(name, self._now()))
 
     def _release_grant(self, *, used: bool, loaded: bool) -> None:
         if self._grants:
@@ -307,7 +312,7 @@
             self._load_grants.release(grant, used=used, loaded=loaded)
 
     def _on_leaving(self, _: EngineLeaving) -> None:
-        self._carry_out(self._dispatch.set_leaving(self._now()))
+        self._execute(self._dispatch.set_leaving(self._now()))
 
     def _on_version_changed(self, message: VersionChanged) -> None:
         self._source_by_lora_name[message.lora_name] = message.source
@@ -317,14 +322,14 @@
             message.replaced,
             self._now(),
         )
-        self._carry_out(actions)
+        self._execute(actions)
 
     def _on_dump(self, _: DumpState) -> dict[str, Any]:
         return self._dispatch.dump(self._now())
 
     # Actions.
 
-    def _carry_out(self, actions: list[Any]) -> None:
+    def _execute(self, actions: list[Any]) -> None:
         for action in actions:
             if isinstance(action, Grant):
                 self._grant(action.permit)
@@ -340,16 +345,18 @@
                 self._executor.submit(self._orders.carry_out, self.actor_ref, action)
 
     def _grant(self, permit: Permit) -> None:
-        """Hand the permit out, unless either side was silent or paused meanwhile."""
+        """Send the permit, unless its request or the lease has expired meanwhile."""
         queued = self._queued_by_id.pop(permit.request_id, None)
         now = self._now()
         if queued is None:
-            self._take_back(permit)
+            self._discard_permit(permit)
             return
-        silent = queued.last_seen_at < now - self._config.send_within_s
-        if silent or not self._may_grant():
-            self._take_back(permit)
-            queued.reply(_elsewhere(permit.request_id, "no place can be granted now"))
+        expired = queued.last_seen_at < now - self._config.send_within_s
+        if expired or not self._may_grant():
+            self._discard_permit(permit)
+            queued.reply(
+                _try_another_engine(permit.request_id, "no place can be granted now")
+            )
             return
         metrics = self._environment.metrics
         metrics.permits_granted.inc()
@@ -358,12 +365,12 @@
         stamped = replace(permit, ask_number=queued.ask_number)
         queued.reply(PermitReply(request_id=permit.request_id, permit=stamped))
 
-    def _take_back(self, permit: Permit) -> None:
-        # Not carried out inside the dispatch's own decision: told to ourselves.
+    def _discard_permit(self, permit: Permit) -> None:
+        # Sent as a message, since the dispatch is still processing its own actions.
         tell(self.actor_ref, ReleaseReceived(permit.permit_id))
 
     def _may_grant(self) -> bool:
-        """Look at the clock itself: the VM may have been paused since its last tick."""
+        """Check the lease now: the VM may have been paused since its last tick."""
         return self._orders.lease_valid() or self._log_is_down()
 
     def _refuse(self, request_id: str, refusal: Refusal) -> None:
@@ -399,7 +406,7 @@
     )
 
 
-def _elsewhere(request_id: str, reason: str) -> PermitReply:
+def _try_another_engine(request_id: str, reason: str) -> PermitReply:
     return PermitReply(
         request_id=request_id,
         code=ErrorCode.NO_ENDPOINT,
--- a/bamboovale/engines/load_grant_router.py
+++ b/bamboovale/engines/load_grant_router.py
@@ -1,4 +1,4 @@
-"""The way of a grant at the weight store between its scheduler and a holder here."""
+"""Routes load grants between their scheduler and the holders on this VM."""
 
 from typing import Any, Protocol
 
@@ -13,15 +13,15 @@
 
 
 class Notifier(Protocol):
-    """Sends notices to peers."""
+    """Sends messages without a reply to peers."""
 
     def notify(self, vm_id: str, message: Any) -> None:
-        """Send a notice, best effort."""
+        """Send a message; it may be lost."""
         ...
 
 
 class HolderFinder(Protocol):
-    """Knows the holders of this VM."""
+    """Finds the engine holders on this VM."""
 
     def find(self, engine_id: str) -> pykka.ActorRef | None:
         """Return the holder of an engine, None if it is not held here."""
@@ -29,7 +29,7 @@
 
 
 class LoadGrantRouter:
-    """Implements the holders' :class:`~bamboovale.engines.holder.LoadGrants`."""
+    """Implements :class:`~bamboovale.engines.holder.LoadGrants` for the holders."""
 
     def __init__(self, own_id: str, links: Notifier, holders: HolderFinder) -> None:
         self._own_id = own_id
@@ -38,17 +38,17 @@
         self._keeper: pykka.ActorRef | None = None
 
     def attach(self, keeper: pykka.ActorRef) -> None:
-        """Send asks to this keeper, which finds the scheduler or is it."""
+        """Set the actor that schedules load grants or finds their scheduler."""
         self._keeper = keeper
 
     def request(self, engine_id: str, lora_name: str, weight: float) -> None:
-        """Ask for a grant on behalf of a holder here."""
-        ask = LoadTurnAsk(engine_id, lora_name, weight)
+        """Request a grant on behalf of a holder on this VM."""
+        request = LoadTurnAsk(engine_id, lora_name, weight)
         if self._keeper is not None:
-            tell(self._keeper, LoadRequestReceived(self._own_id, ask))
+            tell(self._keeper, LoadRequestReceived(self._own_id, request))
 
     def release(self, grant: LoadTurnGiven, *, used: bool, loaded: bool) -> None:
-        """Give a grant back to the scheduler that gave it."""
+        """Return a grant to the scheduler that issued it."""
         ended = LoadTurnEnded(grant.scheduler, grant.number, used, loaded)
         vm_id = grant.scheduler.rpartition(":")[0]
         if vm_id != self._own_id:
@@ -57,7 +57,7 @@
             tell(self._keeper, LoadReleaseReceived(ended))
 
     def deliver(self, grant: LoadTurnGiven) -> None:
-        """Hand a grant to the holder here; back if the engine is not held here."""
+        """Pass a grant to the engine's holder; return it if there is none here."""
         holder = self._holders.find(grant.engine_id)
         if holder is None:
             self.release(grant, used=False, loaded=False)
--- a/bamboovale/engines/load_grants.py
+++ b/bamboovale/engines/load_grants.py
@@ -1,4 +1,4 @@
-"""Grants at the weight store: finds their scheduler, or is it."""
+"""Load grants at the weight store: schedules them or finds their scheduler."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class LoadRequestReceived:
-    """A holder, here or on the VM named, wants a grant."""
+    """A holder on ``from_vm`` requests a load grant."""
 
     from_vm: str
     request: LoadTurnAsk
@@ -22,14 +22,14 @@
 
 @dataclass(frozen=True)
 class LoadReleaseReceived:
-    """A grant is over."""
+    """A holder returns a load grant."""
 
     release: LoadTurnEnded
 
 
 @dataclass(frozen=True)
 class SchedulerLeaseChanged:
-    """This VM became (``fencing``) or stopped being (None) the scheduler."""
+    """This VM became the scheduler, or lost that role (``fencing`` is None)."""
 
     fencing: int | None
     valid: Callable[[], bool]
@@ -41,9 +41,9 @@
 
 
 class LoadGrantKeeper(MessageActor):
-    """Schedules grants for all entry VMs while it holds the weight store's lease.
+    """Schedules load grants for all entry VMs while it holds the weight store's lease.
 
-    Where no scheduler can be reached it gives this VM's holders a static share.
+    If no scheduler is reachable, it grants this VM's holders a static share.
     """
 
     def __init__(
@@ -130,7 +130,7 @@
 
     def _deliver(self, grants: list[LoadTurn]) -> None:
         for grant in grants:
-            given = LoadTurnGiven(
+            message = LoadTurnGiven(
                 grant.engine_id,
                 grant.lora_name,
                 self._scheduler_name,
@@ -138,9 +138,9 @@
             )
             vm_id = self._vm_by_engine.get(grant.engine_id, self._own_id)
             if vm_id == self._own_id:
-                self._deliver_here(given)
+                self._deliver_here(message)
             else:
-                self._send(vm_id, given)
+                self._send(vm_id, message)
 
     def _deliver_share(self, grants: list[LoadTurn]) -> None:
         for grant in grants:
--- a/bamboovale/engines/messages.py
+++ b/bamboovale/engines/messages.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class PermitRequestReceived:
-    """An ask with the way back to the entry VM that sent it."""
+    """A permit request; ``reply`` answers its entry VM, None for a repeat."""
 
     from_vm: str
     request: PermitAsk
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class CancelReceived:
-    """The entry VM gave up on a request."""
+    """The entry VM no longer waits for a request."""
 
     request_id: str
 
@@ -33,35 +33,35 @@
 
 @dataclass(frozen=True)
 class EntryVMGone:
-    """The link to an entry VM broke."""
+    """The link to an entry VM is lost."""
 
     entry_vm: str
 
 
 @dataclass(frozen=True)
 class PermitsReported:
-    """What a live entry VM holds on this engine, asked after a take-over."""
+    """The permits that an entry VM holds on this engine, after a take-over."""
 
     permits: tuple[Permit, ...]
 
 
 @dataclass(frozen=True)
 class ViewRead:
-    """The engine's state, or None if it did not answer."""
+    """The engine's state, None if it did not answer."""
 
     view: EngineView | None
 
 
 @dataclass(frozen=True)
 class LoadGrantReceived:
-    """The load scheduler gave a turn for an adapter version."""
+    """The load scheduler granted a load of an adapter version."""
 
     grant: LoadTurnGiven
 
 
 @dataclass(frozen=True)
 class EngineLeaving:
-    """The VM list shows the engine as leaving."""
+    """The VM list marks the engine as leaving."""
 
 
 @dataclass(frozen=True)
--- a/bamboovale/engines/orders.py
+++ b/bamboovale/engines/orders.py
@@ -1,11 +1,9 @@
-"""Orders to one engine under one lease: checked before and after each.
-
-Failure: a holder is paused, its lease lapses, another VM takes over; it wakes up and
-goes on with the order it was about to give. The check of the lease comes last before
-the order, after the look at the engine that an eviction needs, so that what remains is
-the time between the check and the write. The engine's own check of the fencing number
-closes that where the engine has one. The check after the order finds a pause that fell
-between.
+"""Orders to one engine under one lease, which is checked before and after each.
+
+Guards against a holder that is paused until its lease has expired and another VM took
+over, and then sends its next order. The lease is checked last before the order, which
+leaves the time between check and write; an engine that checks fencing numbers closes
+it. The check after the order detects a pause in between.
 """
 
 import logging
@@ -26,10 +24,9 @@
 
 @dataclass(frozen=True)
 class OrderCompleted:
-    """A load or an eviction ended; ``order`` is its type.
+    """A load or an eviction completed; ``order`` is its type.
 
-    ``sent`` is False where the lease, or a run at the engine, did not allow the order
-    to be sent at all.
+    ``sent`` is False if the lease, or a run at the engine, did not permit the order.
     """
 
     order: type
@@ -39,7 +36,7 @@
 
 
 class LeasedOrders:
-    """Gives orders to one engine while ``lease_valid`` says that the lease is valid."""
+    """Sends orders to one engine while ``lease_valid()`` returns true."""
 
     def __init__(
         self,
@@ -60,61 +57,60 @@
         actor: pykka.ActorRef,
         make_message: Callable[[EngineView | None], Any],
     ) -> None:
-        """Read the engine's state and tell the actor."""
+        """Read the engine's state and send it to the actor."""
         tell(actor, make_message(self._read()))
 
     def carry_out(self, actor: pykka.ActorRef, order: Load | Unload) -> None:
-        """Give one order and tell the actor how it ended."""
+        """Send one order and report its result to the actor."""
         sent = self._may_send(order)
         succeeded = sent and self._send(order)
         if succeeded and not self.lease_valid():
             self._environment.metrics.orders_after_lapse.inc()
             logger.warning(
-                "lease on %s lapsed while %s was ordered",
+                "lease on %s expired during an order for %s",
                 self._engine.id,
                 order.lora_name,
             )
         tell(actor, OrderCompleted(type(order), order.lora_name, sent, succeeded))
 
     def _may_send(self, order: Load | Unload) -> bool:
-        """Look at the engine first and at the lease last.
+        """Check the engine first and the lease last.
 
-        Guards against a pause during the look at the engine, which takes milliseconds
-        where the check of the lease takes none: the look shows an idle adapter as it
-        was before the pause, and the next holder's request would lose its adapter.
+        Guards against a pause during the check of the engine, after which the next
+        holder may use the adapter that was idle before.
         """
         if isinstance(order, Unload) and not self._is_idle(order.lora_name):
             return False
         return self.lease_valid()
 
     def _read(self) -> EngineView | None:
-        asked_at = self._environment.now()
+        sent_at = self._environment.now()
         answer = self._client.read_state(self._engine)
         if isinstance(answer, Ok):
-            return replace(answer.ok_value, read_at=asked_at)
+            return replace(answer.ok_value, read_at=sent_at)
         return None
 
     def _send(self, order: Load | Unload) -> bool:
         metrics = self._environment.metrics
         if isinstance(order, Load):
-            ended = self._client.load(
+            result = self._client.load(
                 self._engine,
                 order.lora_name,
                 order.source,
                 self._fencing,
             )
-            (metrics.loads if ended.is_ok() else metrics.load_failures).inc()
-            return ended.is_ok()
-        ended = self._client.unload(self._engine, order.lora_name, self._fencing)
-        if ended.is_ok():
+            (metrics.loads if result.is_ok() else metrics.load_failures).inc()
+            return result.is_ok()
+        result = self._client.unload(self._engine, order.lora_name, self._fencing)
+        if result.is_ok():
             metrics.evictions.inc()
-        return ended.is_ok()
+        return result.is_ok()
 
     def _is_idle(self, lora_name: str) -> bool:
-        """Look once more before an eviction.
+        """Check at the engine that no request uses the adapter.
 
-        A request may run there without our permit: a lapsed holder in an outage of
-        the log granted it. The engine's list shows it; the pins here do not.
+        A request may run there without a permit of this holder: in an outage of the
+        log, a former holder may have granted it.
         """
         view = self._read()
         if view is None:
