--- a/bamboovale/admin/access.py
+++ b/bamboovale/admin/access.py
@@ -1,4 +1,4 @@
-"""Who may call the administration."""
+"""Access control of the administration API."""
 
 import hmac
 import ipaddress
@@ -8,10 +8,10 @@
 
 
 def refuse_access(request: Request, token: str) -> Refusal | None:
-    """Return why a caller is not let in, None if it is.
+    """Return the refusal of a request without access, None if it has access.
 
-    With a token every caller has to show it, those on loopback too. Without one only
-    loopback is let in, so that a VM set up in haste is not open to its network.
+    With a token, all callers must send it, also on loopback. Without a token only
+    loopback has access, so that a VM without configuration is not open to its network.
     """
     if not token:
         if is_loopback(request.peer):
@@ -33,7 +33,7 @@
 
 
 def is_loopback(address: str) -> bool:
-    """Return whether an IP number is of this machine's loopback."""
+    """Return whether an IP address is a loopback address."""
     try:
         parsed = ipaddress.ip_address(address)
     except ValueError:
--- a/bamboovale/admin/app.py
+++ b/bamboovale/admin/app.py
@@ -1,8 +1,7 @@
 """The WSGI application of the administration port.
 
-Every edit goes through the log: the answer tells what the fold decided about it,
-never what this VM expects. An edit whose answer is lost is settled by sending it
-again with the same ``X-Edit-Id``.
+Every edit goes through the log, and the answer is its outcome as read back from there.
+An edit whose answer is lost can be sent again with the same ``X-Edit-Id``.
 """
 
 import json
@@ -30,7 +29,7 @@
 MAX_APPLY_BYTES = 16 * 1024 * 1024
 IN_FORCE_TIMEOUT_S = 10.0
 MAX_IN_FORCE_TIMEOUT_S = 60.0
-ENTRIES_PER_PIECE = 200
+ENTRIES_PER_CHUNK = 200
 DEFAULT_HISTORY_LIMIT = 100
 KINDS_IN_ORDER = (Kind.POOL, Kind.SERVICE, Kind.ADAPTER)
 
@@ -41,7 +40,7 @@
 
 
 class AdministrationApp:
-    """Answers one request at a time on each thread of the HTTP server."""
+    """Routes requests of the administration API to their handlers."""
 
     def __init__(
         self,
@@ -109,7 +108,7 @@
             return reply_findings([finding])
         kinds = (Kind(kind_text),) if kind_text else KINDS_IN_ORDER
         view = self._port.catalogue()
-        return Reply(200, _entry_pieces(view, kinds))
+        return Reply(200, _entry_chunks(view, kinds))
 
     def _get_entry(self, request: Request, kind: Kind, name: str) -> Reply:
         view = self._port.catalogue()
@@ -221,7 +220,7 @@
 
 
 def _route(path: str) -> tuple[str, tuple[Any, ...]]:
-    """Return the name of a route and its arguments; an empty name if unknown."""
+    """Return a route's name and its arguments; the name is empty if unknown."""
     if path in ("/metrics", "/healthz"):
         return path[1:], ()
     if not path.startswith(PREFIX):
@@ -234,9 +233,8 @@
     return "", ()
 
 
-def _entry_pieces(view: CatalogueView, kinds: tuple[Kind, ...]) -> Iterator[bytes]:
-    # In pieces, because many thousand entries at once would be as large as the
-    # catalogue itself.
+def _entry_chunks(view: CatalogueView, kinds: tuple[Kind, ...]) -> Iterator[bytes]:
+    # In chunks, to bound the memory for catalogues of many thousand entries.
     yield f'{{"revision": {view.revision}, "entries": ['.encode()
     rows: list[str] = []
     separator = ""
@@ -246,7 +244,7 @@
             entry = table[name]
             row = entry.to_json() | {"revision": entry.revision}
             rows.append(json.dumps(row))
-            if len(rows) == ENTRIES_PER_PIECE:
+            if len(rows) == ENTRIES_PER_CHUNK:
                 yield (separator + ",".join(rows)).encode()
                 rows = []
                 separator = ","
--- a/bamboovale/admin/edits.py
+++ b/bamboovale/admin/edits.py
@@ -1,4 +1,4 @@
-"""From HTTP requests to edits of the catalogue."""
+"""Parses HTTP requests into edits of the catalogue."""
 
 import json
 import re
@@ -13,7 +13,7 @@
 from bamboovale.errors import Finding
 
 ETAG = re.compile(r'"(\d{1,18})"')
-# A record of the log may hold 1 MiB; the rest is for what wraps the edit.
+# A record of the log may have 1 MiB; the rest is left for its envelope.
 MAX_EDIT_BYTES = 900 * 1024
 
 
@@ -21,7 +21,7 @@
     if_match: str,
     if_none_match: str,
 ) -> Result[int | None, list[Finding]]:
-    """Return the base revision that the conditional headers ask for."""
+    """Return the base revision that the conditional headers demand, None without."""
     if if_match and if_none_match:
         return Err([Finding("If-Match", "excludes If-None-Match")])
     if if_none_match:
@@ -42,7 +42,7 @@
     data: Any,
     base_revision: int | None,
 ) -> Result[Change, list[Finding]]:
-    """Read the body of a PUT; kind and name may be left to the path."""
+    """Parse the body of a PUT; kind and name default to those of the path."""
     if isinstance(data, dict):
         data = {"kind": kind.value, "name": name} | data
     parsed = parse_entry(data)
@@ -57,23 +57,23 @@
 
 
 def read_apply(data: Any) -> Result[list[Change], list[Finding]]:
-    """Read the body of an apply: ``entries``, ``deletions`` and ``changes``.
+    """Parse the body of an apply: ``entries``, ``deletions`` and ``changes``.
 
-    ``changes`` are as in an edit on the log, with a base revision each; the other
-    two are shorter forms of it without one.
+    ``changes`` have the form of an edit on the log, with a base revision each; the
+    other two are short forms without one.
     """
     reader = FieldReader(data, "")
     if reader.findings:
         return Err(reader.findings)
     changes: list[Change] = []
-    for field, shape in (
-        ("entries", _shape_entry),
-        ("deletions", _shape_deletion),
-        ("changes", _shape_change),
+    for field, parse in (
+        ("entries", _parse_entry),
+        ("deletions", _parse_deletion),
+        ("changes", _parse_change),
     ):
         for index, row in enumerate(_read_list(reader, field)):
             place = f"{field}[{index}]"
-            parsed = shape(row, place)
+            parsed = parse(row, place)
             if isinstance(parsed, Ok):
                 changes.append(parsed.ok_value)
             else:
@@ -87,8 +87,8 @@
 def split_edit(edit: Edit, max_bytes: int = MAX_EDIT_BYTES) -> list[Edit]:
     """Return the edit itself, or several that each fit a record of the log.
 
-    The parts are accepted or rejected each on its own, in their order: pools are
-    set first and deleted last, so that no part needs a later one.
+    Each part is accepted or rejected separately and in order: pools are set first and
+    deleted last, so that no part depends on a later one.
     """
     groups: list[list[Change]] = [[]]
     used = 0
@@ -117,7 +117,7 @@
     return value
 
 
-def _shape_entry(row: Any, place: str) -> Result[Change, list[Finding]]:
+def _parse_entry(row: Any, place: str) -> Result[Change, list[Finding]]:
     parsed = parse_entry(row, place)
     if isinstance(parsed, Err):
         return parsed
@@ -125,13 +125,13 @@
     return Ok(Change(Action.SET, entry.kind, entry.name, entry))
 
 
-def _shape_deletion(row: Any, place: str) -> Result[Change, list[Finding]]:
+def _parse_deletion(row: Any, place: str) -> Result[Change, list[Finding]]:
     if isinstance(row, dict):
         row = {"action": Action.DELETE.value} | row
     return parse_change(row, place)
 
 
-def _shape_change(row: Any, place: str) -> Result[Change, list[Finding]]:
+def _parse_change(row: Any, place: str) -> Result[Change, list[Finding]]:
     return parse_change(row, place)
 
 
--- a/bamboovale/admin/http.py
+++ b/bamboovale/admin/http.py
@@ -1,4 +1,4 @@
-"""Requests and replies of the administration, on top of plain WSGI."""
+"""Requests and replies of the administration API on top of WSGI."""
 
 import json
 from collections.abc import Iterable, Sequence
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """A status, headers and a body that may be made piece by piece."""
+    """A status, headers and a body, which may be generated in chunks."""
 
     status: int
     body: Iterable[bytes] = ()
@@ -44,7 +44,7 @@
         extra: dict[str, Any] | None = None,
         headers: tuple[tuple[str, str], ...] = (),
     ) -> "Reply":
-        """Return the reply for a refusal; ``extra`` adds to the error object."""
+        """Return the reply for a refusal; ``extra`` is added to the error object."""
         data = refusal.to_json(request_id)
         data["error"].update(extra or {})
         if refusal.retry_after_s is not None:
@@ -54,12 +54,12 @@
 
     @property
     def status_line(self) -> str:
-        """Return the status as WSGI wants it."""
+        """Return the status line for WSGI."""
         return f"{self.status} {HTTPStatus(self.status).phrase}"
 
 
 class Request:
-    """One call, read from a WSGI environment."""
+    """One request, read from a WSGI environment."""
 
     def __init__(self, environ: dict[str, Any]) -> None:
         self._environ = environ
@@ -70,12 +70,12 @@
         self.query: dict[str, str] = dict(parse_qsl(query))
 
     def header(self, name: str) -> str:
-        """Return a header as UTF-8 text, empty when absent."""
+        """Return a header as UTF-8 text, empty if absent."""
         raw = self._environ.get("HTTP_" + name.upper().replace("-", "_"), "")
         return raw.encode("latin-1", "replace").decode("utf-8", "replace").strip()
 
     def json(self, max_bytes: int) -> Result[Any, Refusal]:
-        """Read a body of bounded size as JSON."""
+        """Read and parse a JSON body of at most ``max_bytes``."""
         length_text = self._environ.get("CONTENT_LENGTH") or ""
         if not length_text.isascii() or not length_text.isdigit():
             return Err(bad_request("a Content-Length is needed"))
@@ -92,7 +92,7 @@
         if len(body) != length:
             return Err(bad_request("the body was cut short"))
         try:
-            return Ok(json.loads(body, object_pairs_hook=_object))
+            return Ok(json.loads(body, object_pairs_hook=_unique_object))
         except (ValueError, RecursionError) as error:
             return Err(bad_request(f"the body is not JSON: {error}"))
 
@@ -103,7 +103,7 @@
 
 
 def reply_findings(findings: Sequence[Finding]) -> Reply:
-    """Return the refusal of input with its findings, all at once."""
+    """Return the refusal of invalid input with all findings."""
     return Reply.of_refusal(
         bad_request(f"{len(findings)} findings"),
         extra={"findings": findings_to_json(findings)},
@@ -115,8 +115,8 @@
     return [{"place": item.place, "message": item.message} for item in findings]
 
 
-def _object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    # Of a field given twice, JSON readers take either; an operator meant one.
+def _unique_object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    # Guards against a field given twice, of which parsers use either value.
     data = dict(pairs)
     if len(data) != len(pairs):
         raise ValueError("an object names a field twice")
--- a/bamboovale/admin/port.py
+++ b/bamboovale/admin/port.py
@@ -1,4 +1,4 @@
-"""What the administration needs from the process that it runs in."""
+"""The interface of the administration API to the entry VM that it runs in."""
 
 from dataclasses import dataclass, field
 from typing import Any, Protocol
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class InForceReport:
-    """How far the live entry VMs have folded the catalogue.
+    """Catalogue revisions of the live entry VMs.
 
     ``missing`` names the live entry VMs that did not answer in time.
     """
@@ -47,20 +47,20 @@
 
 
 class AdministrationPort(Protocol):
-    """Calls from threads of the HTTP server into the entry VM."""
+    """Operations of the entry VM; called on threads of the HTTP server."""
 
     def catalogue(self) -> CatalogueView:
         """Return the catalogue in force on this VM."""
 
     def submit(self, edit: Edit, timeout_s: float) -> Result[EditOutcome, Refusal]:
-        """Append an edit and wait until it was read back and judged.
+        """Append an edit and wait until it is read back and accepted or rejected.
 
-        Refuses with ``log_unavailable`` if it was surely not appended, else with
-        ``outcome_unknown``; repeating it with the same edit id is then safe.
+        Refuses with ``log_unavailable`` if it is certain that it was not appended,
+        else with ``outcome_unknown``; a retry with the same edit id is then safe.
         """
 
     def in_force(self, revision: int, timeout_s: float) -> InForceReport:
-        """Ask all live entry VMs, waiting until they reach the revision."""
+        """Poll all live entry VMs until they reach the revision or time is up."""
 
     def state(self) -> dict[str, Any]:
         """Return the state of this process as JSON values."""
@@ -69,4 +69,4 @@
         """Return the metrics in Prometheus' text format."""
 
     def ready(self) -> bool:
-        """Return whether this VM takes requests of callers."""
+        """Return whether this VM accepts requests of callers."""
--- a/bamboovale/admin/submission.py
+++ b/bamboovale/admin/submission.py
@@ -1,4 +1,4 @@
-"""Edits from requests to the log, and the replies that tell what became of them."""
+"""Appends edits to the log and builds the replies with their outcomes."""
 
 import re
 import threading
@@ -28,23 +28,23 @@
 from bamboovale.errors import ErrorCode, Finding, Refusal
 
 SUBMIT_TIMEOUT_S = 5.0
-# Calls that wait for the log or for peers hold a thread of the server. More than
-# these are refused, so that state, metrics and health still answer in an outage.
+# Calls that wait for the log or for peers hold a thread of the server. Beyond this
+# limit they are refused, so that state, metrics and health respond in an outage.
 MAX_WAITING_CALLS = 4
 RETRY_AFTER_S = 2.0
-# Shorter than on the log, where the number of a part may follow.
+# Shorter than the limit on the log, where a part number may be appended.
 CLIENT_EDIT_ID = re.compile(r"[A-Za-z0-9._:-]{8,120}")
 
 
 class WaitingCallLimiter:
-    """Bounds how many calls wait at the same time."""
+    """Limits the number of calls that wait concurrently."""
 
     def __init__(self, bound: int = MAX_WAITING_CALLS) -> None:
         self._semaphore = threading.BoundedSemaphore(bound)
 
     @contextmanager
     def acquire(self) -> Iterator[bool]:
-        """Hold a turn for the length of the block; False if there was none."""
+        """Count a call for the block; yields False if the limit is reached."""
         acquired = self._semaphore.acquire(blocking=False)
         try:
             yield acquired
@@ -54,7 +54,7 @@
 
 
 class Submission:
-    """Submits edits and words the replies."""
+    """Submits edits and builds the replies."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         self._wall_clock = wall_clock
 
     def submit(self, request: Request, changes: list[Change]) -> Reply:
-        """Append the changes as an edit and reply with what became of it."""
+        """Append the changes as an edit and reply with its outcome."""
         edit_id = request.header("X-Edit-Id") or uuid.uuid4().hex
         author = request.header("X-Author")
         findings = []
@@ -172,7 +172,7 @@
 
 
 def reply_too_many_waiting() -> Reply:
-    """Return the refusal of a call that would have to wait beside too many."""
+    """Return the refusal of a call beyond the limit of waiting calls."""
     return Reply.of_refusal(
         Refusal(
             ErrorCode.OVERLOADED,
