--- a/tests/admin_port.py
+++ b/tests/admin_port.py
@@ -1,4 +1,4 @@
-"""An administration port over a list that stands for the log."""
+"""A fake administration port over an in-memory log."""
 
 import threading
 from collections.abc import Iterator
@@ -18,7 +18,7 @@
 
 
 class ListPort:
-    """Folds what is submitted at once; can lose answers or be down."""
+    """Applies edits immediately; can lose answers or be down."""
 
     def __init__(self) -> None:
         self.records: list[Any] = []
@@ -57,7 +57,7 @@
 
 @contextmanager
 def serve(application: Any) -> Iterator[str]:
-    """Serve a WSGI application on a free port of loopback; give its URL."""
+    """Serve a WSGI application on a free loopback port; yield its URL."""
     server = Server(("127.0.0.1", 0), application, numthreads=2, shutdown_timeout=1)
     server.prepare()
     thread = threading.Thread(target=server.serve, daemon=True)
--- a/tests/test_admin_app.py
+++ b/tests/test_admin_app.py
@@ -1,4 +1,4 @@
-"""The administration API, called as WSGI."""
+"""The administration API, called through WSGI."""
 
 import io
 import json
@@ -20,7 +20,7 @@
 
 
 class Caller:
-    """Calls the application as an HTTP server would."""
+    """Calls the application like an HTTP server."""
 
     def __init__(self, token: str = "", peer: str = "127.0.0.1") -> None:
         self.port = ListPort()
@@ -59,7 +59,7 @@
 
 
 class TestAccess:
-    """Who is let in."""
+    """Access with and without a token."""
 
     @pytest.mark.parametrize(
         ("token", "peer", "given", "status"),
@@ -107,7 +107,7 @@
         assert conflict["current"]["load_seconds"] == 9
         assert call("PUT", POOL_PATH, POOL, if_none_match="*")[0] == 412
 
-    def test_a_lost_answer_is_settled_by_the_edit_id(self) -> None:
+    def test_a_lost_answer_is_resolved_by_the_edit_id(self) -> None:
         call = Caller()
         call.port.lose_answers = 1
         headers = {"x_edit_id": "edit-0001", "if_none_match": "*"}
@@ -152,7 +152,7 @@
         assert (got, call.port.records) == (status, [])
         assert body["error"]["not_run"]
 
-    def test_a_body_cut_short_is_refused(self) -> None:
+    def test_a_truncated_body_is_refused(self) -> None:
         environ = {
             "REQUEST_METHOD": "PUT",
             "CONTENT_LENGTH": "9",
@@ -164,7 +164,7 @@
 class TestApply:
     """Many entries in one edit."""
 
-    def test_every_finding_at_once(self) -> None:
+    def test_all_findings_are_returned(self) -> None:
         data = {"entries": [POOL, {"kind": "pool", "name": "x y"}], "deletions": [{}]}
         status, body = Caller()("POST", "/admin/v1/apply", data)
         assert status == 400
@@ -209,7 +209,7 @@
 
 
 class TestInForce:
-    """Whether a revision is in force everywhere."""
+    """Whether a revision is in force on all entry VMs."""
 
     @pytest.mark.parametrize(
         ("revision_by_vm", "missing", "in_force"),
@@ -220,7 +220,7 @@
             ({}, (), False),
         ],
     )
-    def test_names_who_is_behind_or_silent(
+    def test_names_vms_that_are_behind_or_missing(
         self,
         revision_by_vm: dict[str, int],
         missing: tuple[str, ...],
@@ -238,16 +238,16 @@
 
 
 class TestWaitingCalls:
-    """Calls that wait for the log are bounded."""
+    """The number of calls that wait for the log is limited."""
 
     def test_the_next_call_is_refused_at_once(self) -> None:
-        # In an outage of the log every edit waits for its timeout. Operators who
-        # repeat would hold all threads, and state and health would not answer.
-        waiting = WaitingCallLimiter()
-        turns = [waiting.acquire() for _ in range(MAX_WAITING_CALLS)]
-        assert all(turn.__enter__() for turn in turns)
-        with waiting.acquire() as acquired:
+        # Guards against a log outage in which waiting edits hold all threads, so that
+        # state and health do not respond.
+        limiter = WaitingCallLimiter()
+        calls = [limiter.acquire() for _ in range(MAX_WAITING_CALLS)]
+        assert all(call.__enter__() for call in calls)
+        with limiter.acquire() as acquired:
             assert not acquired
-        turns[0].__exit__(None, None, None)
-        with waiting.acquire() as acquired:
+        calls[0].__exit__(None, None, None)
+        with limiter.acquire() as acquired:
             assert acquired
--- a/tests/test_admin_cli.py
+++ b/tests/test_admin_cli.py
@@ -1,4 +1,4 @@
-"""``bamboovale catalogue`` against a served administration."""
+"""``bamboovale catalogue`` against an administration API over HTTP."""
 
 import json
 import socket
@@ -19,7 +19,7 @@
 
 
 class Console:
-    """Runs commands against a port."""
+    """Runs commands against an administration API."""
 
     def __init__(self, port: ListPort, url: str, folder: Path) -> None:
         self.port = port
@@ -45,7 +45,7 @@
 
 
 class TestCatalogueCommands:
-    """What operators type, and the exit codes they get."""
+    """Commands of operators, their output and exit codes."""
 
     def test_set_list_history_delete(self, console: Console) -> None:
         done = console.run(
@@ -69,7 +69,7 @@
         assert done.exit_code == ExitStatus.CONFLICT
         assert "edited from revision 7, current revision is 1" in done.output
 
-    def test_findings_one_a_line(self, console: Console) -> None:
+    def test_findings_are_printed_one_per_line(self, console: Console) -> None:
         bad = {"entries": [{"kind": "pool", "name": "x y"}]}
         done = console.run("apply", console.file(bad))
         assert done.exit_code == ExitStatus.REJECTED
@@ -79,7 +79,7 @@
         ]
 
     def test_a_printed_list_can_be_applied_again(self, console: Console) -> None:
-        """The log lost the catalogue; the operator has kept a printed list of it."""
+        """Guards the recovery of a lost catalogue from a printed list."""
         console.run("set", console.file(POOL))
         kept = json.loads(console.run("list", "--format=json").output)
         console.run("delete", "pool", "tutor-llm")
@@ -87,7 +87,7 @@
         assert done.output == "accepted at revision 3\n"
         assert "tutor-llm" in console.run("list").output
 
-    def test_entries_that_are_no_list_are_findings(self, console: Console) -> None:
+    def test_entries_that_are_not_a_list_are_findings(self, console: Console) -> None:
         for entries in (7, "x", {"a": 1}):
             done = console.run("apply", console.file({"entries": entries}))
             assert done.exit_code == ExitStatus.REJECTED, done.output
@@ -104,9 +104,9 @@
             )
         assert done.exit_code == ExitStatus.SUCCESS
 
-    def test_a_lost_answer_is_settled_at_the_next_url(self, console: Console) -> None:
-        # The first entry VM appended the edit and lost the answer. The command asks
-        # the next with the same edit id: one edit, one history record.
+    def test_a_lost_answer_is_resolved_at_the_next_url(self, console: Console) -> None:
+        # The first entry VM appends the edit and its answer is lost. The command sends
+        # it to the next one with the same edit id: one edit, one history record.
         console.port.lose_answers = 1
         data = console.file({"entries": [POOL]})
         done = console.run("apply", data, admin=(console.url,))
@@ -114,7 +114,9 @@
         assert len(console.port.records) == 2
         assert len(console.port.folded.view().history) == 1
 
-    def test_unknown_is_not_turned_into_unavailable(self, console: Console) -> None:
+    def test_an_unknown_outcome_is_not_reported_as_unavailable(
+        self, console: Console
+    ) -> None:
         console.port.lose_answers = 1
         with socket.socket() as unused:
             unused.bind(("127.0.0.1", 0))
--- a/tests/test_endpoint_connections.py
+++ b/tests/test_endpoint_connections.py
@@ -15,12 +15,9 @@
 
 
 class TestReadTimeout:
-    """How long an answer is awaited.
+    """The read timeout applies to answers, not the connect timeout.
 
-    Story: a caller asks for a whole answer of some hundred tokens. The engine takes
-    two seconds for it. The entry VM gave up after one, ran the request on the engine
-    again, and told the caller after three runs that its answer was lost. urllib3 had
-    put the connect timeout back on the socket when the request was sent.
+    Guards against urllib3 resetting the connect timeout when a request is sent.
     """
 
     @pytest.fixture
@@ -30,7 +27,7 @@
         with running(server) as url:
             yield parse_address(url.removeprefix("http://"))
 
-    @pytest.mark.parametrize("requests", [1, 2], ids=["new", "kept"])
+    @pytest.mark.parametrize("requests", [1, 2], ids=["new", "reused"])
     def test_an_answer_may_take_longer_than_connecting(
         self, address: tuple[str, int], requests: int
     ) -> None:
@@ -42,7 +39,7 @@
             connections.release(address, exchange)
         connections.close()
 
-    def test_an_answer_is_not_awaited_for_longer(
+    def test_an_answer_after_the_read_timeout_fails(
         self, address: tuple[str, int]
     ) -> None:
         exchange = EndpointConnections("127.0.0.1").open(address, read_timeout_s=0.3)
--- a/tests/test_engine_holder.py
+++ b/tests/test_engine_holder.py
@@ -1,4 +1,4 @@
-"""The lease holder of an engine that does not answer."""
+"""The lease holder of an unreachable engine."""
 
 import logging
 from collections.abc import Iterator
@@ -19,31 +19,31 @@
 from bamboovale.settings import Settings
 
 
-class PlayedOrders:
-    """An engine of which the test says what it answers."""
+class FakeOrders:
+    """Orders to an engine whose state the test sets."""
 
     def lease_valid(self) -> bool:
         return True
 
     def read_view(self, actor: Any, make_message: Any) -> None:
-        """Answer nothing; the test tells the holder what was read."""
+        """Do nothing; the test sends the state to the holder."""
 
     def carry_out(self, actor: Any, order: Any) -> None:
-        """Never end an order."""
+        """Never complete an order."""
 
 
-class PlayedTurns:
-    """A weight store whose turn never comes."""
+class FakeLoadGrants:
+    """A load scheduler that never grants a load."""
 
     def request(self, engine_id: str, lora_name: str, weight: float) -> None:
-        """Leave the ask unanswered."""
+        """Leave the request unanswered."""
 
     def release(self, grant: Any, *, used: bool, loaded: bool) -> None:
-        """Take a turn back."""
+        """Accept a returned grant."""
 
 
 class Holder:
-    """A holder with one loaded adapter, and the answers it gave."""
+    """A holder of an engine with one loaded adapter, and its replies."""
 
     def __init__(self) -> None:
         self.replies: list[PermitReply] = []
@@ -53,29 +53,29 @@
             logging.getLogger("test"),
             now=lambda: 10.0,
         )
-        orders: Any = PlayedOrders()
+        orders: Any = FakeOrders()
         self.actor = EngineHolder.start(
             environment=environment,
             engine=EngineAddress("g1", "127.0.0.1", 1),
             config=DispatchConfig("g1", "base", fencing=1),
             policy=Policy.chosen(),
             orders=orders,
-            load_grants=PlayedTurns(),
+            load_grants=FakeLoadGrants(),
             on_hint=lambda hint: None,
             log_is_down=lambda: False,
         )
-        self.see()
+        self.report_state()
 
-    def see(self) -> None:
+    def report_state(self) -> None:
         view = EngineView("b1", "base", 4, 2, frozenset({"hot@1"}))
         self.actor.ask(ViewRead(view))
 
-    def miss(self, times: int) -> None:
+    def miss_polls(self, times: int) -> None:
         for _ in range(times):
             self.actor.ask(ViewRead(None))
 
-    def ask(self, request_id: str, adapter: str) -> None:
-        ask = PermitAsk(
+    def request(self, request_id: str, adapter: str) -> None:
+        message = PermitAsk(
             engine_id="g1",
             request_id=request_id,
             ask_number=1,
@@ -90,7 +90,7 @@
             fingerprint="f",
             exclusive=False,
         )
-        self.actor.ask(PermitRequestReceived("e1", ask, self.replies.append))
+        self.actor.ask(PermitRequestReceived("e1", message, self.replies.append))
 
     def sent_elsewhere(self) -> list[str]:
         return [reply.request_id for reply in self.replies if reply.elsewhere]
@@ -106,34 +106,32 @@
 
 
 class TestUnreachableEngine:
-    """Nothing is queued for an engine that is down.
+    """No request is queued for an unreachable engine.
 
-    An engine restarts. Sellers at the counter whose adapters it served waited in its
-    queue for the restart and for the loads after it, 11 s and more, while the other
-    engines had free places.
+    Guards against requests that wait for a restart while other engines have places.
     """
 
-    def test_what_waits_is_sent_elsewhere(self) -> None:
+    def test_queued_requests_are_sent_elsewhere(self) -> None:
         holder = Holder()
-        holder.ask("r1", "cold")
-        holder.miss(2)
+        holder.request("r1", "cold")
+        holder.miss_polls(2)
         assert holder.sent_elsewhere() == ["r1"]
 
-    def test_what_comes_is_sent_elsewhere(self) -> None:
+    def test_new_requests_are_sent_elsewhere(self) -> None:
         holder = Holder()
-        holder.miss(2)
-        holder.ask("r1", "hot")
+        holder.miss_polls(2)
+        holder.request("r1", "hot")
         assert holder.sent_elsewhere() == ["r1"]
 
-    def test_one_missed_reading_changes_nothing(self) -> None:
+    def test_one_missed_poll_has_no_effect(self) -> None:
         holder = Holder()
-        holder.miss(1)
-        holder.ask("r1", "hot")
+        holder.miss_polls(1)
+        holder.request("r1", "hot")
         assert holder.granted() == ["r1"]
 
-    def test_it_serves_again_once_it_is_read(self) -> None:
+    def test_it_grants_again_after_a_successful_poll(self) -> None:
         holder = Holder()
-        holder.miss(3)
-        holder.see()
-        holder.ask("r1", "hot")
+        holder.miss_polls(3)
+        holder.report_state()
+        holder.request("r1", "hot")
         assert holder.granted() == ["r1"]
--- a/tests/test_engine_run.py
+++ b/tests/test_engine_run.py
@@ -1,4 +1,4 @@
-"""Answers of engines that are broken, late, mixed up or cut short."""
+"""Answers of engines that are broken, late, mixed up or truncated."""
 
 import contextlib
 import json
@@ -19,7 +19,7 @@
 
 @contextlib.contextmanager
 def engine_that_sends(*answers: bytes) -> Iterator[tuple[str, int]]:
-    """Serve one raw answer to each request, on one connection after another."""
+    """Send one raw answer per request, on one connection after another."""
     listener = socket.create_server(("127.0.0.1", 0))
 
     def serve() -> None:
@@ -64,7 +64,7 @@
     return data
 
 
-def whole(status: int, body: bytes) -> bytes:
+def response(status: int, body: bytes) -> bytes:
     head = f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n\r\n"
     return head.encode() + body
 
@@ -90,24 +90,24 @@
 
 
 class Run:
-    """Runs against one raw engine."""
+    """Runs against one fake engine."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.connections = EndpointConnections("127.0.0.1")
         self.target = RunTarget(address, "r.1", "a@1")
 
-    def begin(self) -> EngineRun:
+    def start(self) -> EngineRun:
         return EngineRun(self.connections, self.target, fresh=False)
 
-    def whole(self) -> bytes:
-        run = self.begin()
+    def read_answer(self) -> bytes:
+        run = self.start()
         try:
             return run.read_answer(run.send("/v1/completions", b"{}"))
         finally:
             run.abandon()
 
     def events(self) -> list[bytes]:
-        run = self.begin()
+        run = self.start()
         try:
             return list(run.read_events(run.send("/v1/completions", b"{}")))
         finally:
@@ -119,50 +119,50 @@
         return raised.value.failure
 
 
-class TestWholeAnswer:
-    """Only a request's own whole answer is passed on."""
+class TestCompleteAnswer:
+    """Only a complete answer to the same request is forwarded."""
 
     def test_its_own_answer(self) -> None:
-        with engine_that_sends(whole(200, answer())) as address:
-            assert Run(address).whole() == answer()
+        with engine_that_sends(response(200, answer())) as address:
+            assert Run(address).read_answer() == answer()
 
     @pytest.mark.parametrize(
         "body",
         [answer(request_id="r.2"), answer(model="a@2"), answer(finish=""), b"{"],
         ids=["another request's", "another version's", "unfinished", "not JSON"],
     )
-    def test_another_answer_is_not_passed_on(self, body: bytes) -> None:
-        with engine_that_sends(whole(200, body)) as address:
-            assert Run(address).failure("whole") is RunFailure.WRONG
+    def test_another_answer_is_not_forwarded(self, body: bytes) -> None:
+        with engine_that_sends(response(200, body)) as address:
+            assert Run(address).failure("read_answer") is RunFailure.WRONG
 
-    def test_an_answer_cut_short_is_broken(self) -> None:
-        cut = whole(200, answer())[:-5]
-        cut = cut.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n", 1)
-        with engine_that_sends(cut) as address:
-            assert Run(address).failure("whole") is RunFailure.BROKEN
+    def test_a_truncated_answer_is_broken(self) -> None:
+        truncated = response(200, answer())[:-5]
+        truncated = truncated.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n", 1)
+        with engine_that_sends(truncated) as address:
+            assert Run(address).failure("read_answer") is RunFailure.BROKEN
 
     def test_no_answer_may_have_run(self) -> None:
         with engine_that_sends(b"") as address:
-            failure = Run(address).failure("whole")
+            failure = Run(address).failure("read_answer")
         assert failure is RunFailure.BROKEN
 
     def test_an_unknown_adapter_was_not_run(self) -> None:
-        with engine_that_sends(whole(404, b"{}")) as address:
+        with engine_that_sends(response(404, b"{}")) as address:
             run = Run(address)
             with pytest.raises(RunFailedError) as raised:
-                run.whole()
+                run.read_answer()
         assert raised.value.not_run
 
     def test_no_connection_was_not_run(self) -> None:
         with engine_that_sends() as address:
             pass
-        assert Run(address).failure("whole") is RunFailure.NOT_SENT
+        assert Run(address).failure("read_answer") is RunFailure.NOT_SENT
 
 
 class TestStream:
-    """A stream is whole only with its end marker."""
+    """A stream is complete only with its end marker."""
 
-    def test_a_whole_stream(self) -> None:
+    def test_a_complete_stream(self) -> None:
         with engine_that_sends(stream(event("x"), event("y"), DONE)) as address:
             assert Run(address).events() == [event("x"), event("y")]
 
@@ -173,7 +173,7 @@
             assert Run(address).events() == [event("x"), event("y")]
 
     def test_an_end_without_the_marker_is_broken(self) -> None:
-        """The engine dies; its half answer would be taken for the whole."""
+        """Guards against a truncated answer that is forwarded as complete."""
         with engine_that_sends(stream(event("x"))) as address:
             assert Run(address).failure("events") is RunFailure.BROKEN
 
@@ -181,32 +181,33 @@
         with engine_that_sends(stream(event("x"), ended=False)) as address:
             assert Run(address).failure("events") is RunFailure.BROKEN
 
-    def test_another_requests_stream_is_not_passed_on(self) -> None:
+    def test_another_requests_stream_is_not_forwarded(self) -> None:
         with engine_that_sends(stream(event("x", "r.2"), DONE)) as address:
             assert Run(address).failure("events") is RunFailure.WRONG
 
 
 class TestLateAnswer:
-    """What arrives late on a connection is nobody's answer.
+    """A late answer is never read as the answer to another request.
 
-    A caller gives up while the engine works. The engine's answer still comes, on a
-    connection that the next request would use: it would get the first one's answer.
+    Guards against the reuse of a connection on which an answer is still outstanding.
     """
 
-    def test_a_given_up_connection_is_not_used_again(self) -> None:
-        late = whole(200, answer())
-        with engine_that_sends(late, whole(200, answer())) as address:
+    def test_an_abandoned_connection_is_not_reused(self) -> None:
+        late = response(200, answer())
+        with engine_that_sends(late, response(200, answer())) as address:
             run = Run(address)
-            first = run.begin()
+            first = run.start()
             first.send("/v1/completions", b"{}")
             first.abandon()
-            second = run.begin()
+            second = run.start()
             assert second.exchange.connection is not first.exchange.connection
             second.abandon()
 
-    def test_an_answered_connection_is_kept(self) -> None:
-        with engine_that_sends(whole(200, answer()), whole(200, answer())) as address:
+    def test_a_completed_connection_is_reused(self) -> None:
+        with engine_that_sends(
+            response(200, answer()), response(200, answer())
+        ) as address:
             run = Run(address)
-            first = run.begin()
+            first = run.start()
             first.read_answer(first.send("/v1/completions", b"{}"))
-            assert run.begin().exchange.connection is first.exchange.connection
+            assert run.start().exchange.connection is first.exchange.connection
--- a/tests/test_entry_engine_holders.py
+++ b/tests/test_entry_engine_holders.py
@@ -1,4 +1,4 @@
-"""EngineHolders of engines: when they start, and with which settings of their pool."""
+"""When engine holders start, and with which settings of their pool."""
 
 from collections.abc import Iterator
 from types import SimpleNamespace
@@ -21,7 +21,7 @@
 POOL = PoolEntry("tutor-llm", "base-7b", load_seconds=0.25)
 
 
-class SilentEngine:
+class UnreachableEngine:
     """An engine that does not answer."""
 
     def read_state(self, engine: Any) -> Any:
@@ -29,7 +29,7 @@
 
 
 class Deployment:
-    """EngineHolders of one VM, with a catalogue that the test edits."""
+    """The engine holders of one VM, with a catalogue that the test edits."""
 
     def __init__(self) -> None:
         self.views = Views(membership=Membership([ENGINE]))
@@ -44,16 +44,16 @@
             Environment.from_settings(Settings(id="e1")),
             self.views,
             Policy.chosen(),
-            SilentEngine(),
+            UnreachableEngine(),
             Ticker(),
         )
 
-    def name_pools(self, *pools: PoolEntry) -> None:
+    def set_pools(self, *pools: PoolEntry) -> None:
         by_name = {pool.name: pool for pool in pools}
         self.views.catalogue = SimpleNamespace(pool_by_name=by_name)
         self.holders.on_membership()
 
-    def hold(self) -> None:
+    def start_holder(self) -> None:
         self.holders.start("g1", 5, lambda: True, self.links)
 
 
@@ -65,35 +65,34 @@
 
 
 class TestPools:
-    """A holder needs its pool's load time.
+    """A holder starts only with the load time of its pool.
 
-    VMs start before the operators publish their first catalogue. Their holders guessed
-    two seconds for a load of 0.4, asked for none on four engines of six, and callers
-    waited for slots on the other two for as long as the leases stood.
+    Guards against holders that start before the first catalogue with a default load
+    time, which keeps new adapters away from their engines.
     """
 
-    def test_an_engine_is_held_only_once_its_pool_is_named(
+    def test_a_holder_starts_only_when_its_pool_is_known(
         self, deployment: Deployment
     ) -> None:
-        deployment.name_pools()
-        deployment.hold()
+        deployment.set_pools()
+        deployment.start_holder()
         assert deployment.holders.find("g1") is None
-        deployment.name_pools(POOL)
+        deployment.set_pools(POOL)
         assert deployment.holders.dump()["g1"]["load_wait_s"] == 2 * POOL.load_seconds
         assert deployment.started == ["g1"]
 
-    def test_a_lease_lost_meanwhile_starts_no_holder(
+    def test_a_lease_lost_before_the_pool_is_known_starts_no_holder(
         self, deployment: Deployment
     ) -> None:
-        deployment.name_pools()
-        deployment.hold()
+        deployment.set_pools()
+        deployment.start_holder()
         deployment.holders.stop("g1", deployment.links)
-        deployment.name_pools(POOL)
+        deployment.set_pools(POOL)
         assert deployment.holders.find("g1") is None
 
     def test_a_holder_is_started_once(self, deployment: Deployment) -> None:
-        deployment.name_pools(POOL)
-        deployment.hold()
+        deployment.set_pools(POOL)
+        deployment.start_holder()
         holder = deployment.holders.find("g1")
-        deployment.name_pools(POOL)
+        deployment.set_pools(POOL)
         assert deployment.holders.find("g1") is holder
--- a/tests/test_entry_idempotency_keys.py
+++ b/tests/test_entry_idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Keyed requests: one run, the same answer for repeats, honest refusals."""
+"""Requests with an idempotency key: one run, and the same answer for repeats."""
 
 import logging
 import time
@@ -20,8 +20,8 @@
 from bamboovale.settings import Settings
 
 
-class PlayedClaims(pykka.ThreadingActor):
-    """Gives every claim the verdict that the test set."""
+class FakeClaims(pykka.ThreadingActor):
+    """Answers every claim with the verdict that the test set."""
 
     def __init__(self, verdict: Verdict, state: KeyState) -> None:
         super().__init__()
@@ -41,8 +41,8 @@
         return None
 
 
-class Keyed:
-    """Keyed requests over played claims."""
+class KeyedRequests:
+    """An idempotency key handler with fake claims."""
 
     def __init__(
         self,
@@ -53,8 +53,8 @@
     ) -> None:
         self.runs = 0
         self.answers = AnswerStore()
-        self.claims = PlayedClaims.start(verdict, state)
-        self.keyed = IdempotencyKeyHandler(
+        self.claims = FakeClaims.start(verdict, state)
+        self.handler = IdempotencyKeyHandler(
             Environment(
                 Settings(id="e1", failure_domain="muc-a"),
                 Metrics(),
@@ -71,7 +71,7 @@
             self.runs += 1
             return result or CallerAnswer.complete(201, [("X-Own", "1")], b"booked")
 
-        return self.keyed.answer(request(), "r.1", "lernwerk", run)
+        return self.handler.answer(request(), "r.1", "lernwerk", run)
 
     def ended(self) -> list[Any]:
         return self.claims.ask("read")
@@ -102,52 +102,51 @@
 
 
 class TestWinner:
-    """The winner of the key runs, and says on the log how it ended."""
+    """The request that wins the key runs, and its outcome is recorded on the log."""
 
     def test_an_answer_is_kept_and_recorded(self) -> None:
-        keyed = Keyed()
-        assert b"".join(keyed.answer().chunks) == b"booked"
-        assert keyed.answers.find("r.1").body == b"booked"
-        assert keyed.ended() == [Answered("k1", "lernwerk", "r.1", 201)]
+        requests = KeyedRequests()
+        assert b"".join(requests.answer().chunks) == b"booked"
+        assert requests.answers.find("r.1").body == b"booked"
+        assert requests.ended() == [Answered("k1", "lernwerk", "r.1", 201)]
 
     def test_a_request_that_was_not_run_frees_its_key(self) -> None:
         refusal = Refusal(ErrorCode.NO_ENDPOINT, "none", not_run=True)
-        keyed = Keyed()
-        list(keyed.answer(CallerAnswer.refusal(refusal, "r")).chunks)
-        assert keyed.ended() == [Released("k1", "lernwerk", "r.1")]
+        requests = KeyedRequests()
+        list(requests.answer(CallerAnswer.refusal(refusal, "r")).chunks)
+        assert requests.ended() == [Released("k1", "lernwerk", "r.1")]
 
     def test_an_unknown_outcome_keeps_the_key_claimed(self) -> None:
-        """The booking may exist: freeing its key would let a repeat book twice."""
+        """Guards against a second run by a repeat if the first may have run."""
         refusal = Refusal(ErrorCode.OUTCOME_UNKNOWN, "lost", not_run=False)
-        keyed = Keyed()
-        list(keyed.answer(CallerAnswer.refusal(refusal, "r")).chunks)
-        assert keyed.ended() == []
-        assert keyed.answers.find("r.1").state is AnswerState.UNKNOWN
+        requests = KeyedRequests()
+        list(requests.answer(CallerAnswer.refusal(refusal, "r")).chunks)
+        assert requests.ended() == []
+        assert requests.answers.find("r.1").state is AnswerState.UNKNOWN
 
-    def test_a_caller_gone_before_the_first_byte_still_settles_the_key(self) -> None:
-        """The server closes the answer unread; its end must be acted on all the same.
+    def test_a_disconnect_before_the_first_byte_settles_the_key(self) -> None:
+        """Guards against a key that stays claimed as running after a disconnect.
 
-        The booking ran. Without it the key would look as if it still ran, and each
-        repeat would wait in vain.
+        The server closes the answer without reading it.
         """
-        keyed = Keyed()
-        keyed.answer().chunks.close()  # type: ignore[attr-defined]
-        assert len(keyed.ended()) == 1
+        requests = KeyedRequests()
+        requests.answer().chunks.close()  # type: ignore[attr-defined]
+        assert len(requests.ended()) == 1
 
-    def test_a_stream_broken_off_is_unknown(self) -> None:
+    def test_a_broken_stream_is_unknown(self) -> None:
         def chunks() -> Any:
             yield b"half"
             raise ConnectionError
 
-        keyed = Keyed()
-        answer = keyed.answer(CallerAnswer(200, [], chunks(), AnswerOutcome()))
+        requests = KeyedRequests()
+        answer = requests.answer(CallerAnswer(200, [], chunks(), AnswerOutcome()))
         with pytest.raises(ConnectionError):
             list(answer.chunks)
-        assert keyed.answers.find("r.1").state is AnswerState.UNKNOWN
+        assert requests.answers.find("r.1").state is AnswerState.UNKNOWN
 
 
 class TestRepeat:
-    """A repeat never runs; it gets the first answer or an honest word."""
+    """A repeat never runs; it gets the first answer or a refusal."""
 
     def test_it_gets_the_first_answer_under_its_own_id(self) -> None:
         kept = KeptAnswer(
@@ -156,11 +155,11 @@
             (("X-Request-Id", "first"), ("Content-Length", "6")),
             b"booked",
         )
-        keyed = Keyed(Verdict.LOST, KeyState.ANSWERED, kept)
-        answer = keyed.answer()
+        requests = KeyedRequests(Verdict.LOST, KeyState.ANSWERED, kept)
+        answer = requests.answer()
         assert (answer.status, b"".join(answer.chunks)) == (201, b"booked")
         assert ("X-Request-Id", "r") in answer.headers
-        assert keyed.runs == 0
+        assert requests.runs == 0
 
     @pytest.mark.parametrize(
         ("verdict", "kept", "code", "not_run"),
@@ -177,32 +176,31 @@
             ),
         ],
     )
-    def test_what_else_it_may_hear(
+    def test_refusals_of_repeats(
         self,
         verdict: Verdict,
         kept: KeptAnswer | None,
         code: ErrorCode,
         not_run: bool,
     ) -> None:
-        keyed = Keyed(verdict, kept=kept)
-        answer = keyed.answer()
+        requests = KeyedRequests(verdict, kept=kept)
+        answer = requests.answer()
         assert code_of(answer) == code.value
         assert (answer.outcome.state is AnswerState.NOT_RUN) is not_run
-        assert keyed.runs == 0
+        assert requests.runs == 0
 
 
 class TestLogOutage:
-    """Without the log a key cannot be claimed: the caller hears so at once.
+    """During a log outage, requests with a key are refused at once.
 
-    A parent confirms a slot while the log is down. Waiting two seconds for a claim
-    that cannot come would hold the thread and the parent for nothing.
+    Guards against a thread that waits for a claim which cannot succeed.
     """
 
     def test_it_is_refused_at_once_and_not_run(self) -> None:
-        keyed = Keyed(log_reachable=False)
-        begun = time.monotonic()
-        answer = keyed.answer()
-        assert time.monotonic() - begun < 0.5
+        requests = KeyedRequests(log_reachable=False)
+        started_at = time.monotonic()
+        answer = requests.answer()
+        assert time.monotonic() - started_at < 0.5
         assert code_of(answer) == ErrorCode.LOG_UNAVAILABLE.value
         assert answer.outcome.state is AnswerState.NOT_RUN
-        assert keyed.runs == 0
+        assert requests.runs == 0
--- a/tests/test_entry_permits.py
+++ b/tests/test_entry_permits.py
@@ -1,4 +1,4 @@
-"""Waiting for permits: how a wait ends, and what becomes of a permit too late."""
+"""Waiting for permits: how a wait ends, and late or expired permits."""
 
 import logging
 import threading
@@ -40,13 +40,13 @@
 
 @dataclass
 class FakeLinks:
-    """A holder that the test plays."""
+    """A fake transport to a lease holder."""
 
     holder: str | None = "e2"
     fencing: int = 5
     future: "Future[Any]" = field(default_factory=Future)
-    told: list[Any] = field(default_factory=list)
-    asked: threading.Event = field(default_factory=threading.Event)
+    sent: list[Any] = field(default_factory=list)
+    requested: threading.Event = field(default_factory=threading.Event)
 
     def holder_of(self, engine_id: str) -> str | None:
         return self.holder
@@ -57,14 +57,14 @@
     def request_permit(
         self, holder: str, request: PermitAsk, timeout_s: float
     ) -> "Future[Any]":
-        self.asked.set()
+        self.requested.set()
         return self.future
 
     def notify(self, holder: str, message: Any) -> None:
-        self.told.append(message)
+        self.sent.append(message)
 
-    def told_of(self, kind: type) -> list[Any]:
-        return [message for message in self.told if isinstance(message, kind)]
+    def sent_of(self, kind: type) -> list[Any]:
+        return [message for message in self.sent if isinstance(message, kind)]
 
 
 def permit(ask_number: int = 1, fencing: int = 5) -> Permit:
@@ -81,8 +81,8 @@
     )
 
 
-class Desk:
-    """A permit desk with a played holder and clock."""
+class Waiter:
+    """A permit client with a fake holder and clock."""
 
     def __init__(self) -> None:
         settings = Settings(id="e1", failure_domain="muc-a", send_within_s=0.15)
@@ -94,9 +94,9 @@
             now=self.clock,
         )
         self.links = FakeLinks()
-        self.desk = PermitClient(environment, self.links)
+        self.client = PermitClient(environment, self.links)
         self.disconnect = DisconnectSignal()
-        self.wanted = True
+        self.is_current = True
         self.item = WorkItem(
             request_id="r.1",
             entry_vm="e1",
@@ -109,124 +109,124 @@
         )
 
     def acquire(self) -> Any:
-        return self.desk.acquire(self.item, "g1", self.disconnect, lambda: self.wanted)
+        return self.client.acquire(
+            self.item, "g1", self.disconnect, lambda: self.is_current
+        )
 
     def acquire_later(self) -> "Future[Any]":
         done: Future[Any] = Future()
         thread = threading.Thread(target=lambda: done.set_result(self.acquire()))
         thread.start()
-        assert self.links.asked.wait(2.0)
+        assert self.links.requested.wait(2.0)
         return done
 
 
-class TestEndsOfAWait:
-    """A wait ends with exactly one of its answers."""
+class TestResultsOfAWait:
+    """A wait ends with exactly one result."""
 
     def test_a_permit(self) -> None:
-        desk = Desk()
-        desk.links.future.set_result(PermitReply("r.1", permit=permit()))
-        held = desk.acquire()
+        waiter = Waiter()
+        waiter.links.future.set_result(PermitReply("r.1", permit=permit()))
+        held = waiter.acquire()
         assert isinstance(held, HeldPermit)
-        assert desk.desk.permits_on("g1") == (held.permit,)
+        assert waiter.client.permits_on("g1") == (held.permit,)
 
     def test_a_refusal(self) -> None:
-        desk = Desk()
+        waiter = Waiter()
         reply = PermitReply("r.1", code=ErrorCode.OVERLOADED, retry_after_s=2.0)
-        desk.links.future.set_result(reply)
-        refusal = desk.acquire()
+        waiter.links.future.set_result(reply)
+        refusal = waiter.acquire()
         assert isinstance(refusal, Refusal)
         assert (refusal.not_run, refusal.retry_after_s) == (True, 2.0)
 
     def test_no_holder(self) -> None:
-        desk = Desk()
-        desk.links.holder = None
-        assert isinstance(desk.acquire(), TryAnotherEngine)
-
-    def test_a_lost_link_cancels_the_ask(self) -> None:
-        desk = Desk()
-        desk.links.future.set_exception(ConnectionError("lost"))
-        assert isinstance(desk.acquire(), TryAnotherEngine)
-        assert desk.links.told_of(PermitCancel)
-
-    def test_a_hangup(self) -> None:
-        desk = Desk()
-        done = desk.acquire_later()
-        desk.disconnect.trigger()
+        waiter = Waiter()
+        waiter.links.holder = None
+        assert isinstance(waiter.acquire(), TryAnotherEngine)
+
+    def test_a_lost_link_cancels_the_request(self) -> None:
+        waiter = Waiter()
+        waiter.links.future.set_exception(ConnectionError("lost"))
+        assert isinstance(waiter.acquire(), TryAnotherEngine)
+        assert waiter.links.sent_of(PermitCancel)
+
+    def test_a_disconnect(self) -> None:
+        waiter = Waiter()
+        done = waiter.acquire_later()
+        waiter.disconnect.trigger()
         assert isinstance(done.result(2.0), CallerDisconnected)
-        assert desk.links.told_of(PermitCancel)
+        assert waiter.links.sent_of(PermitCancel)
 
     def test_a_lease_that_moves(self) -> None:
-        desk = Desk()
-        done = desk.acquire_later()
-        desk.links.holder = "e3"
+        waiter = Waiter()
+        done = waiter.acquire_later()
+        waiter.links.holder = "e3"
         assert isinstance(done.result(2.0), TryAnotherEngine)
 
     def test_a_catalogue_that_names_another_version(self) -> None:
-        desk = Desk()
-        done = desk.acquire_later()
-        desk.wanted = False
+        waiter = Waiter()
+        done = waiter.acquire_later()
+        waiter.is_current = False
         assert isinstance(done.result(2.0), VersionOutdated)
 
     def test_a_holder_that_never_answers(self) -> None:
-        desk = Desk()
-        done = desk.acquire_later()
-        desk.clock.time = 111.0
+        waiter = Waiter()
+        done = waiter.acquire_later()
+        waiter.clock.time = 111.0
         refusal = done.result(2.0)
         assert isinstance(refusal, Refusal)
         assert refusal.code is ErrorCode.DEADLINE
 
 
 class TestLatePermit:
-    """A permit that comes after the wait was given up on goes back unused.
+    """A permit that arrives after the wait was cancelled is returned unused.
 
-    The caller hangs up while its ask is queued. The grant crosses the cancellation;
-    nobody would use the place, and nobody would give it back.
+    Guards against a leaked place when the grant crosses the cancellation.
     """
 
     def test_it_is_released(self) -> None:
-        desk = Desk()
-        done = desk.acquire_later()
-        desk.disconnect.trigger()
+        waiter = Waiter()
+        done = waiter.acquire_later()
+        waiter.disconnect.trigger()
         done.result(2.0)
-        desk.links.future.set_result(PermitReply("r.1", permit=permit()))
-        released = desk.links.told_of(PermitRelease)
+        waiter.links.future.set_result(PermitReply("r.1", permit=permit()))
+        released = waiter.links.sent_of(PermitRelease)
         assert [message.permit_id for message in released] == ["p1"]
-        assert desk.desk.held_count() == 0
+        assert waiter.client.held_count() == 0
 
 
 class TestPausedEntryVM:
-    """A permit that lay in the socket of a frozen entry VM is not used.
+    """A permit that arrived while the entry VM was paused is not used.
 
-    The VM is paused right after its ask. The holder grants, hears nothing, gives the
-    place to another request and evicts the adapter. The VM wakes up and reads a
-    permit that looks new.
+    Guards against a run on an adapter that the holder has evicted after the permit
+    expired unused.
     """
 
-    def test_send_by_counts_from_the_ask(self) -> None:
-        desk = Desk()
-        desk.links.future.set_result(PermitReply("r.1", permit=permit()))
-        held = desk.acquire()
-        assert desk.desk.may_still_send(held)
-        desk.clock.time += 1.1
-        assert not desk.desk.may_still_send(held)
+    def test_send_by_counts_from_the_request(self) -> None:
+        waiter = Waiter()
+        waiter.links.future.set_result(PermitReply("r.1", permit=permit()))
+        held = waiter.acquire()
+        assert waiter.client.may_still_send(held)
+        waiter.clock.time += 1.1
+        assert not waiter.client.may_still_send(held)
 
-    def test_a_permit_for_an_unknown_ask_is_too_late(self) -> None:
-        desk = Desk()
+    def test_a_permit_for_an_unknown_request_is_expired(self) -> None:
+        waiter = Waiter()
         reply = PermitReply("r.1", permit=permit(ask_number=7))
-        desk.links.future.set_result(reply)
-        assert not desk.desk.may_still_send(desk.acquire())
+        waiter.links.future.set_result(reply)
+        assert not waiter.client.may_still_send(waiter.acquire())
 
 
 class TestFormerHolder:
     """A permit of a holder that lost its lease is not used.
 
-    The holder is cut off from the log and does not know that another VM took over.
-    The new holder cannot see the permit and may evict its adapter.
+    Guards against a run on an adapter that the new holder evicts, since it does not
+    know the permit.
     """
 
     def test_an_older_fencing_number_is_refused(self) -> None:
-        desk = Desk()
-        desk.links.fencing = 6
-        desk.links.future.set_result(PermitReply("r.1", permit=permit(fencing=5)))
-        assert isinstance(desk.acquire(), TryAnotherEngine)
-        assert desk.desk.held_count() == 0
+        waiter = Waiter()
+        waiter.links.fencing = 6
+        waiter.links.future.set_result(PermitReply("r.1", permit=permit(fencing=5)))
+        assert isinstance(waiter.acquire(), TryAnotherEngine)
+        assert waiter.client.held_count() == 0
--- a/tests/test_entry_readiness.py
+++ b/tests/test_entry_readiness.py
@@ -1,4 +1,4 @@
-"""When an entry VM may vouch for what it knows."""
+"""When an entry VM may serve with the catalogue it has."""
 
 from dataclasses import replace
 
@@ -13,7 +13,7 @@
 from bamboovale.models import VM, VMKind
 from bamboovale.views import Views
 
-SOUND = ReadinessInputs(
+HEALTHY = ReadinessInputs(
     catalogue_complete=True,
     vm_list_read=True,
     log_silent_s=0.0,
@@ -21,55 +21,53 @@
     other_entry_vms=2,
     peers=(),
 )
-SILENT = replace(SOUND, log_silent_s=STALE_AFTER_S + 1)
+LOG_SILENT = replace(HEALTHY, log_silent_s=STALE_AFTER_S + 1)
 
 
 class TestMayServe:
-    """Serving goes on in an outage and stops for a VM that is alone."""
+    """A VM serves during an outage of the log and stops when it is partitioned."""
 
-    def test_a_whole_catalogue_is_needed(self) -> None:
-        assert may_serve(SOUND)
-        assert not may_serve(replace(SOUND, catalogue_complete=False))
-        assert not may_serve(replace(SOUND, vm_list_read=False))
+    def test_a_complete_catalogue_is_required(self) -> None:
+        assert may_serve(HEALTHY)
+        assert not may_serve(replace(HEALTHY, catalogue_complete=False))
+        assert not may_serve(replace(HEALTHY, vm_list_read=False))
 
     def test_a_log_down_for_all_does_not_stop_service(self) -> None:
         down = PeerReport(log_reachable=False, catalogue_next_offset=10)
-        assert may_serve(replace(SILENT, peers=(down, down)))
+        assert may_serve(replace(LOG_SILENT, peers=(down, down)))
 
-    def test_a_vm_cut_off_from_log_and_peers_stops(self) -> None:
-        """It would answer with a version that was replaced elsewhere."""
-        assert not may_serve(SILENT)
+    def test_a_vm_without_log_and_peers_stops(self) -> None:
+        """Guards against serving a version that was replaced elsewhere."""
+        assert not may_serve(LOG_SILENT)
 
     def test_a_vm_behind_a_peer_stops_until_it_has_caught_up(self) -> None:
         ahead = PeerReport(log_reachable=True, catalogue_next_offset=11)
-        behind = replace(SILENT, peers=(ahead,))
+        behind = replace(LOG_SILENT, peers=(ahead,))
         assert not may_serve(behind)
         assert may_serve(replace(behind, catalogue_next_offset=11))
 
-    def test_a_single_vm_has_nobody_to_ask(self) -> None:
-        assert may_serve(replace(SILENT, other_entry_vms=0))
+    def test_a_single_vm_serves_without_peers(self) -> None:
+        assert may_serve(replace(LOG_SILENT, other_entry_vms=0))
 
 
 class TestLogIsDown:
-    """Only peers tell an outage of the log from a cut of one's own."""
+    """Peers distinguish an outage of the log from a partition of this VM."""
 
     def test_one_peer_that_reaches_the_log_is_enough(self) -> None:
         up = PeerReport(log_reachable=True, catalogue_next_offset=10)
         down = PeerReport(log_reachable=False, catalogue_next_offset=10)
-        assert log_is_down(replace(SILENT, peers=(down, down)))
-        assert not log_is_down(replace(SILENT, peers=(down, up)))
+        assert log_is_down(replace(LOG_SILENT, peers=(down, down)))
+        assert not log_is_down(replace(LOG_SILENT, peers=(down, up)))
 
-    def test_without_peers_the_silence_may_be_ours(self) -> None:
-        assert not log_is_down(SILENT)
-        assert log_is_down(replace(SILENT, other_entry_vms=0))
+    def test_without_peers_only_this_vm_may_be_affected(self) -> None:
+        assert not log_is_down(LOG_SILENT)
+        assert log_is_down(replace(LOG_SILENT, other_entry_vms=0))
 
 
 class TestPause:
-    """A judgement from before a pause does not outlive it.
+    """Readiness from before a pause expires by the clock.
 
-    A VM is frozen and cut off. Elsewhere version 2 is accepted. The VM wakes up with
-    requests in its sockets and answered five of eight with version 1, before its task
-    came round to judging that it knows nothing for sure any more.
+    Guards against a paused VM that serves an old version before its next evaluation.
     """
 
     def test_serving_ends_by_the_clock(self) -> None:
@@ -83,7 +81,7 @@
 
 
 class TestStartingVM:
-    """Callers are not sent to a VM that does not serve yet."""
+    """A VM that does not serve yet is not listed for callers."""
 
     def test_it_is_not_usable(self) -> None:
         vms = [VM(vm_id, VMKind.ENTRY, "127.0.0.1") for vm_id in ("e1", "e2")]
--- a/tests/test_entry_start.py
+++ b/tests/test_entry_start.py
@@ -1,4 +1,4 @@
-"""An entry VM that cannot start."""
+"""Startup failures of an entry VM."""
 
 import socket
 import subprocess
@@ -14,24 +14,23 @@
 
 
 class TestOccupiedPort:
-    """One of the three ports is taken.
+    """One of the three ports is in use.
 
-    Story: an operator starts a second entry VM on a machine, or restarts one whose
-    earlier process still holds its ports. It must end, and say which port it lacks.
+    The process must exit and name the port, for example if a second VM is started.
     """
 
     @pytest.mark.parametrize("use", USES)
-    def test_ends_and_says_so(self, use: str) -> None:
+    def test_exits_and_names_the_port(self, use: str) -> None:
         *found, unused = find_free_ports(ADDRESS, len(USES) + 1)
         port_by_use = dict(zip(USES, found, strict=True))
         ports = [f"--{name}-port={port}" for name, port in port_by_use.items()]
-        nowhere = f"http://{ADDRESS}:{unused}"
+        unreachable_url = f"http://{ADDRESS}:{unused}"
         with socket.create_server((ADDRESS, port_by_use[use])):
             done = subprocess.run(
                 [
                     *(sys.executable, "-m", "bamboovale", "entry"),
                     *("--id=e1", "--failure-domain=muc-a"),
-                    *(f"--log={nowhere}", f"--vms={nowhere}"),
+                    *(f"--log={unreachable_url}", f"--vms={unreachable_url}"),
                     *ports,
                 ],
                 capture_output=True,
--- a/tests/test_leased_orders.py
+++ b/tests/test_leased_orders.py
@@ -1,4 +1,4 @@
-"""Orders to an engine around the end of a lease."""
+"""Orders to an engine when its lease expires."""
 
 import logging
 from dataclasses import dataclass, field
@@ -20,9 +20,9 @@
 
 @dataclass
 class FakeEngine:
-    """An engine that notes its orders.
+    """An engine that records its orders.
 
-    ``on_order`` runs in the middle of each, ``on_read`` while its state is read.
+    ``on_order`` is called during each order, ``on_read`` while its state is read.
     """
 
     running: dict[str, str] = field(default_factory=dict)
@@ -42,7 +42,7 @@
         source: str,
         fencing: int,
     ) -> Result[None, OrderFailure]:
-        return self._note("load", lora_name, fencing)
+        return self._record("load", lora_name, fencing)
 
     def unload(
         self,
@@ -50,9 +50,9 @@
         lora_name: str,
         fencing: int,
     ) -> Result[None, OrderFailure]:
-        return self._note("unload", lora_name, fencing)
+        return self._record("unload", lora_name, fencing)
 
-    def _note(
+    def _record(
         self,
         order: str,
         lora_name: str,
@@ -65,7 +65,7 @@
 
 
 class Inbox(pykka.ThreadingActor):
-    """Keeps what it is told."""
+    """Records the messages it receives."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -84,8 +84,8 @@
     actor.stop()
 
 
-class World:
-    """Orders under a lease that the test ends."""
+class LeasedEngine:
+    """Orders under a lease that the test expires."""
 
     def __init__(self) -> None:
         self.valid = True
@@ -104,67 +104,63 @@
             lease_valid=lambda: self.valid,
         )
 
-    def lapse(self) -> None:
+    def expire(self) -> None:
         self.valid = False
 
 
-class TestLapsedLease:
-    """No order is given once the lease has lapsed.
+class TestExpiredLease:
+    """No order is sent after the lease has expired.
 
-    The holder is paused between its decision and the order. Meanwhile another VM has
-    taken the engine over; the old holder wakes up and goes on where it was.
+    Guards against a holder that is paused before an order while another takes over.
     """
 
-    def test_an_order_after_the_lapse_is_not_sent(self, inbox: Any) -> None:
-        world = World()
-        world.lapse()
-        world.orders.carry_out(inbox, Load("a@1", "s"))
-        assert world.engine.orders == []
+    def test_an_order_after_the_expiry_is_not_sent(self, inbox: Any) -> None:
+        leased = LeasedEngine()
+        leased.expire()
+        leased.orders.carry_out(inbox, Load("a@1", "s"))
+        assert leased.engine.orders == []
         assert inbox.ask("read") == [OrderCompleted(Load, "a@1", False, False)]
 
-    def test_a_lapse_during_the_look_at_the_engine_evicts_nothing(
+    def test_an_expiry_during_the_check_of_the_engine_evicts_nothing(
         self,
         inbox: Any,
     ) -> None:
-        """A caller's stream would break off with its adapter gone.
+        """Guards against an eviction of an adapter that the next holder uses.
 
-        The holder looks at the engine before an eviction and is paused during that
-        look, for longer than its lease. The next holder lets a request for the same
-        adapter run; the first one wakes up with a look that shows the adapter idle.
+        The holder is paused while it checks that the adapter is idle.
         """
-        world = World()
-        world.engine.on_read = world.lapse
-        world.orders.carry_out(inbox, Unload("a@1"))
-        assert world.engine.orders == []
+        leased = LeasedEngine()
+        leased.engine.on_read = leased.expire
+        leased.orders.carry_out(inbox, Unload("a@1"))
+        assert leased.engine.orders == []
         assert inbox.ask("read") == [OrderCompleted(Unload, "a@1", False, False)]
 
-    def test_a_lapse_during_the_order_is_counted(self, inbox: Any) -> None:
-        world = World()
-        world.engine.on_order = world.lapse
-        world.orders.carry_out(inbox, Load("a@1", "s"))
-        assert world.metrics.orders_after_lapse._value.get() == 1
+    def test_an_expiry_during_the_order_is_counted(self, inbox: Any) -> None:
+        leased = LeasedEngine()
+        leased.engine.on_order = leased.expire
+        leased.orders.carry_out(inbox, Load("a@1", "s"))
+        assert leased.metrics.orders_after_lapse._value.get() == 1
 
     def test_each_order_carries_the_fencing_number(self, inbox: Any) -> None:
-        world = World()
-        world.orders.carry_out(inbox, Load("a@1", "s"))
-        assert world.engine.orders == [("load", "a@1", 7)]
+        leased = LeasedEngine()
+        leased.orders.carry_out(inbox, Load("a@1", "s"))
+        assert leased.engine.orders == [("load", "a@1", 7)]
 
 
 class TestEvictionUnderARun:
-    """An adapter in use is not evicted, also if this holder gave no permit for it.
+    """An adapter in use is not evicted, even if this holder granted no permit for it.
 
-    A former holder, in an outage of the log, granted a place that the new holder
-    does not know of. Only the engine's own list shows the run.
+    Guards against evicting an adapter whose permit came from a former holder.
     """
 
-    def test_a_listed_run_keeps_the_adapter(self, inbox: Any) -> None:
-        world = World()
-        world.engine.running = {"r.1": "a@1"}
-        world.orders.carry_out(inbox, Unload("a@1"))
-        assert world.engine.orders == []
+    def test_a_run_reported_by_the_engine_keeps_the_adapter(self, inbox: Any) -> None:
+        leased = LeasedEngine()
+        leased.engine.running = {"r.1": "a@1"}
+        leased.orders.carry_out(inbox, Unload("a@1"))
+        assert leased.engine.orders == []
 
     def test_an_idle_adapter_is_evicted(self, inbox: Any) -> None:
-        world = World()
-        world.engine.running = {"r.1": "b@1"}
-        world.orders.carry_out(inbox, Unload("a@1"))
-        assert world.engine.orders == [("unload", "a@1", 7)]
+        leased = LeasedEngine()
+        leased.engine.running = {"r.1": "b@1"}
+        leased.orders.carry_out(inbox, Unload("a@1"))
+        assert leased.engine.orders == [("unload", "a@1", 7)]
--- a/tests/test_model_requests.py
+++ b/tests/test_model_requests.py
@@ -1,4 +1,4 @@
-"""How a model request ends when its caller, its engine or its version goes."""
+"""Outcomes of model requests on disconnects, failed runs and version changes."""
 
 import contextlib
 import json
@@ -37,18 +37,18 @@
     return catalogue.view()
 
 
-class Collaborators:
-    """What a model request meets; each end is played by the test."""
+class FakeCollaborators:
+    """Fakes of all collaborators of ModelRequests, with results set by the test."""
 
     def __init__(self) -> None:
         self.disconnect: Any = None
-        self.permit_answers: list[Any] = []
-        self.run_endings: list[Any] = []
+        self.permit_results: list[Any] = []
+        self.run_results: list[Any] = []
         self.released = 0
         self.targets: list[str] = []
         self.engines: tuple[str, ...] = ()
 
-    # The desk.
+    # Decisions.
 
     def crash_refusal(self, fingerprint: str) -> None:
         return None
@@ -65,27 +65,27 @@
     def may_retry(self) -> bool:
         return True
 
-    # The permits.
+    # Permits.
 
     def acquire(self, item: Any, engine: str, disconnect: Any, wanted: Any) -> Any:
         self.disconnect = disconnect
-        answer = self.permit_answers.pop(0)
+        answer = self.permit_results.pop(0)
         return answer(item) if callable(answer) else answer
 
     def release(self, held: Any, refused: bool = False) -> None:
         self.released += 1
 
-    # The runs.
+    # Runs.
 
-    def run(self, order: Any, request: Any, disconnect: Any) -> CallerAnswer:
-        outcome = self.run_endings.pop(0)
+    def run(self, spec: Any, request: Any, disconnect: Any) -> CallerAnswer:
+        outcome = self.run_results.pop(0)
         if callable(outcome):
             outcome = outcome()
         if isinstance(outcome, Exception):
             raise outcome
         return outcome
 
-    # Hang-ups, admission, crashes.
+    # Disconnects, lifecycle, crash reports.
 
     @contextlib.contextmanager
     def watch(self, connection: Any, signal: Any) -> Iterator[None]:
@@ -122,11 +122,11 @@
     return HeldPermit(permit, "e1", float("inf"))
 
 
-class World:
-    """One model request among played collaborators."""
+class Requests:
+    """Model requests with fake collaborators."""
 
     def __init__(self) -> None:
-        self.played = Collaborators()
+        self.fakes = FakeCollaborators()
         self.views = Views(serving_until=float("inf"))
         self.views.catalogue = catalogue_with_version("1")
         environment = Environment(
@@ -135,16 +135,16 @@
             logging.getLogger("test"),
             now=lambda: 0.0,
         )
-        played: Any = self.played
+        fakes: Any = self.fakes
         self.requests = ModelRequests(
             environment,
             self.views,
-            played,
-            played,
-            played,
-            played,
-            played,
-            played,
+            fakes,
+            fakes,
+            fakes,
+            fakes,
+            fakes,
+            fakes,
         )
 
     def answer(self, idempotent: bool | None = None) -> CallerAnswer:
@@ -162,119 +162,115 @@
             )
         )
 
-    def hang_up_and_break(self) -> RunFailedError:
-        self.played.disconnect.disconnected = True
+    def disconnect_and_fail(self) -> RunFailedError:
+        self.fakes.disconnect.disconnected = True
         return RunFailedError(RunFailure.BROKEN, "aborted")
 
 
 DONE = CallerAnswer.complete(200, [], b"{}")
 
 
-class TestHangup:
-    """A key stays claimed only if its request may have run.
+class TestDisconnect:
+    """After a disconnect, the outcome is unknown only if the request was sent.
 
-    A tutor's phone loses its network while the request waits for a place. The repeat
-    with the same key was told that nobody knows whether it ran, although it never
-    left the entry VM.
+    Guards against keys that stay claimed for requests that never left the entry VM.
     """
 
-    def test_a_hangup_in_the_queue_was_not_run(self) -> None:
-        world = World()
-        world.played.permit_answers = [CallerDisconnected()]
-        assert world.answer().outcome.state is AnswerState.NOT_RUN
+    def test_a_disconnect_in_the_queue_was_not_run(self) -> None:
+        requests = Requests()
+        requests.fakes.permit_results = [CallerDisconnected()]
+        assert requests.answer().outcome.state is AnswerState.NOT_RUN
 
-    def test_a_hangup_during_the_run_is_unknown(self) -> None:
-        world = World()
-        world.played.permit_answers = [grant]
-        world.played.run_endings = [world.hang_up_and_break]
-        assert world.answer().outcome.state is AnswerState.UNKNOWN
+    def test_a_disconnect_during_the_run_is_unknown(self) -> None:
+        requests = Requests()
+        requests.fakes.permit_results = [grant]
+        requests.fakes.run_results = [requests.disconnect_and_fail]
+        assert requests.answer().outcome.state is AnswerState.UNKNOWN
 
 
 class TestBrokenRun:
-    """What may have run is repeated only if it may run twice."""
-
-    def test_an_idempotent_request_is_repeated(self) -> None:
-        world = World()
-        world.played.permit_answers = [grant, grant]
-        world.played.run_endings = [RunFailedError(RunFailure.BROKEN, "x"), DONE]
-        assert world.answer().status == 200
-
-    def test_a_non_idempotent_one_is_not(self) -> None:
-        world = World()
-        world.played.permit_answers = [grant]
-        world.played.run_endings = [RunFailedError(RunFailure.BROKEN, "x")]
-        answer = world.answer(idempotent=False)
+    """A request that may have run is retried only if it is idempotent."""
+
+    def test_an_idempotent_request_is_retried(self) -> None:
+        requests = Requests()
+        requests.fakes.permit_results = [grant, grant]
+        requests.fakes.run_results = [RunFailedError(RunFailure.BROKEN, "x"), DONE]
+        assert requests.answer().status == 200
+
+    def test_a_non_idempotent_request_is_not_retried(self) -> None:
+        requests = Requests()
+        requests.fakes.permit_results = [grant]
+        requests.fakes.run_results = [RunFailedError(RunFailure.BROKEN, "x")]
+        answer = requests.answer(idempotent=False)
         assert answer.outcome.code == ErrorCode.OUTCOME_UNKNOWN.value
 
-    def test_one_that_surely_did_not_run_goes_on_all_the_same(self) -> None:
-        world = World()
-        world.played.permit_answers = [grant, grant]
-        world.played.run_endings = [RunFailedError(RunFailure.REFUSED, "x"), DONE]
-        assert world.answer(idempotent=False).status == 200
+    def test_a_non_idempotent_request_that_did_not_run_is_retried(self) -> None:
+        requests = Requests()
+        requests.fakes.permit_results = [grant, grant]
+        requests.fakes.run_results = [RunFailedError(RunFailure.REFUSED, "x"), DONE]
+        assert requests.answer(idempotent=False).status == 200
 
     def test_after_a_run_no_refusal_says_not_run(self) -> None:
-        """An engine broke off; then this VM stopped serving."""
-        world = World()
-        world.played.permit_answers = [grant]
+        """A run fails; then this VM stops serving."""
+        requests = Requests()
+        requests.fakes.permit_results = [grant]
 
         def break_and_stop_serving() -> RunFailedError:
-            world.views.serving_until = float("-inf")
+            requests.views.serving_until = float("-inf")
             return RunFailedError(RunFailure.BROKEN, "x")
 
-        world.played.run_endings = [break_and_stop_serving]
-        answer = world.answer()
+        requests.fakes.run_results = [break_and_stop_serving]
+        answer = requests.answer()
         assert answer.outcome.code == ErrorCode.NOT_READY.value
         assert answer.outcome.state is AnswerState.UNKNOWN
 
 
 class TestNewVersion:
-    """A request that waited moves to the version that is in force now."""
+    """A request that waited runs on the version that is now in force."""
 
-    def test_its_permit_for_the_old_one_is_given_back(self) -> None:
-        world = World()
+    def test_its_permit_for_the_old_version_is_released(self) -> None:
+        requests = Requests()
 
         def grant_then_change(item: Any) -> HeldPermit:
-            world.views.catalogue = catalogue_with_version("2")
+            requests.views.catalogue = catalogue_with_version("2")
             return grant(item)
 
-        world.played.permit_answers = [grant_then_change, grant]
-        world.played.run_endings = [DONE]
-        assert world.answer().status == 200
-        assert world.played.targets == ["a@1", "a@2"]
-        assert world.played.released == 1
+        requests.fakes.permit_results = [grant_then_change, grant]
+        requests.fakes.run_results = [DONE]
+        assert requests.answer().status == 200
+        assert requests.fakes.targets == ["a@1", "a@2"]
+        assert requests.fakes.released == 1
 
 
 class TestUnloadableAdapter:
-    """In a log outage the engine that has the adapter loaded is found.
+    """During a log outage, the engine that has the adapter loaded is found.
 
-    Two engines cannot load it and refuse; a third has it loaded, but its hint has not
-    arrived here yet. The second refusal was final.
+    Guards against a final refusal before all engines were tried.
     """
 
-    def test_a_third_engine_is_asked(self) -> None:
-        world = World()
+    def test_a_third_engine_is_tried(self) -> None:
+        requests = Requests()
         refusal = Refusal(ErrorCode.LOG_UNAVAILABLE, "not loaded", not_run=True)
-        world.played.permit_answers = [refusal, refusal, grant]
-        world.played.run_endings = [DONE]
-        assert world.answer().status == 200
+        requests.fakes.permit_results = [refusal, refusal, grant]
+        requests.fakes.run_results = [DONE]
+        assert requests.answer().status == 200
 
-    def test_an_engine_without_holder_is_asked_again(self) -> None:
-        """The adapter was loaded, and its requests were refused for a moment.
+    def test_an_engine_without_holder_is_tried_again(self) -> None:
+        """Guards against refusals while the lease of an engine is moving.
 
-        In a log outage one engine cannot load it. The other one has it loaded, but its
-        lease has just moved, so that nobody answers for it in the first round.
+        That engine has the adapter loaded, but no lease holder in the first round.
         """
-        world = World()
-        world.played.engines = ("g1", "g2")
+        requests = Requests()
+        requests.fakes.engines = ("g1", "g2")
         refusal = Refusal(ErrorCode.LOG_UNAVAILABLE, "not loaded", not_run=True)
-        nobody = TryAnotherEngine("the engine has no lease holder")
-        world.played.permit_answers = [refusal, nobody, refusal, grant]
-        world.played.run_endings = [DONE]
-        assert world.answer().status == 200
-
-    def test_it_is_refused_at_once_if_every_engine_cannot_load_it(self) -> None:
-        world = World()
-        world.played.engines = ("g1", "g2")
+        no_holder = TryAnotherEngine("the engine has no lease holder")
+        requests.fakes.permit_results = [refusal, no_holder, refusal, grant]
+        requests.fakes.run_results = [DONE]
+        assert requests.answer().status == 200
+
+    def test_it_is_refused_at_once_if_no_engine_can_load_it(self) -> None:
+        requests = Requests()
+        requests.fakes.engines = ("g1", "g2")
         refusal = Refusal(ErrorCode.LOG_UNAVAILABLE, "not loaded", not_run=True)
-        world.played.permit_answers = [refusal, refusal]
-        assert world.answer().outcome.code == ErrorCode.LOG_UNAVAILABLE.value
+        requests.fakes.permit_results = [refusal, refusal]
+        assert requests.answer().outcome.code == ErrorCode.LOG_UNAVAILABLE.value
--- a/tests/test_promises_answers.py
+++ b/tests/test_promises_answers.py
@@ -1,4 +1,4 @@
-"""Own whole answers and a true "not run", with real processes and broken endpoints."""
+"""Complete answers and a correct "not run", with real processes and faults."""
 
 import time
 from collections.abc import Iterator
@@ -21,8 +21,8 @@
 
 
 @pytest.fixture(autouse=True)
-def judged(scenario: Scenario) -> Iterator[None]:
-    """Switch all faults off after each test and judge what happened so far."""
+def checked(scenario: Scenario) -> Iterator[None]:
+    """Disable all faults after each test and check the history so far."""
     yield
     for standin in scenario.cluster.standin_by_id.values():
         for name in standin.read_faults():
@@ -32,13 +32,12 @@
 
 
 class TestAnswers:
-    """Each caller receives the whole answer to its own request."""
+    """Each caller receives the complete answer to its own request."""
 
     def test_answers_that_engines_mix_up_reach_nobody(self, scenario: Scenario) -> None:
-        """A caller would read another's lesson summary.
+        """Guards against forwarding an answer to another caller's request.
 
-        The engine answers two requests with each other's text; the id in the answer
-        is not the one that was sent.
+        The engine swaps the answers of two requests, which shows in their ids.
         """
         for engine in ("g1", "g2"):
             scenario.cluster.standin_by_id[engine].set_faults(wrong_answers=2)
@@ -48,10 +47,9 @@
             caller.finish(scenario.job(kind))
 
     def test_a_stream_survives_a_break_on_the_way(self, scenario: Scenario) -> None:
-        """A tutor would see half a summary that looks whole.
+        """Guards against a truncated stream that looks complete.
 
-        The engine ends streams halfway, without their end mark; the run itself goes
-        on and can be resumed.
+        The engine ends streams early without an end marker; the run can be resumed.
         """
         for engine in ("g1", "g2"):
             scenario.cluster.standin_by_id[engine].set_faults(truncate_answers=1)
@@ -63,10 +61,10 @@
         self,
         scenario: Scenario,
     ) -> None:
-        """A tutor's stream would hang, or end as if it were whole.
+        """Guards against streams that hang or look complete after an engine crash.
 
-        Six streams run; both engines crash one after the other; each caller gets a
-        typed end and, sending again, the whole answer.
+        Both engines crash in turn; each caller gets an error event and, on a retry,
+        the complete answer.
         """
         futures = [
             scenario.begin(
@@ -82,8 +80,8 @@
         outcomes = [future.result(timeout=60) for future in futures]
         assert outcomes == [Outcome.ANSWERED] * 6
 
-    def test_a_caller_that_hangs_up_frees_the_engine(self, scenario: Scenario) -> None:
-        """Callers that lost patience would keep the engine busy for nobody.
+    def test_a_disconnected_caller_frees_the_engine(self, scenario: Scenario) -> None:
+        """Guards against engines that run requests of disconnected callers.
 
         A caller reads two tokens of a long stream and closes the connection.
         """
@@ -91,18 +89,17 @@
         assert scenario.caller().finish(job) is Outcome.HUNG_UP
         wait_until(
             lambda: scenario.run_end(job) == "cancelled",
-            "the run goes on without its caller",
+            "the run continues without its caller",
         )
 
 
 class TestNotRun:
-    """When a caller is told "not run", the request was not run."""
+    """A request that is reported as "not run" did not run."""
 
     def test_a_service_that_drops_calls(self, scenario: Scenario) -> None:
-        """A parent would be told that no booking was made, and be charged.
+        """Guards against reporting a call as not run although it may have run.
 
-        The service runs a call and drops the connection before it answers, then
-        drops one before it runs: from outside the two look alike.
+        The service drops connections before and after the run, which look the same.
         """
         service = scenario.cluster.standin_by_id["s1"]
         caller = scenario.caller()
@@ -112,10 +109,9 @@
             assert caller.finish(job) is Outcome.UNKNOWN
 
     def test_a_service_that_refuses(self, scenario: Scenario) -> None:
-        """A parent would be told by us what only the service can know.
+        """Guards against retrying or replacing a refusal of the service itself.
 
-        The service refuses every call as overloaded. That is its own answer: it is
-        passed on as it is, and the call is not repeated behind the caller's back.
+        The service refuses all calls as overloaded; its answer is forwarded unchanged.
         """
         service = scenario.cluster.standin_by_id["s1"]
         service.set_faults(refuse_share=1.0)
--- a/tests/test_promises_at_most_once.py
+++ b/tests/test_promises_at_most_once.py
@@ -1,4 +1,4 @@
-"""A non-idempotent request runs at most once, whatever fails around it."""
+"""A non-idempotent request runs at most once under all faults."""
 
 import time
 from collections.abc import Iterator
@@ -26,13 +26,12 @@
 
 
 class TestAtMostOnce:
-    """Bookings with an Idempotency-Key."""
+    """Calls with an Idempotency-Key."""
 
     def test_the_entry_vm_dies_while_the_call_runs(self, scenario: Scenario) -> None:
-        """A family would be charged twice.
+        """Guards against a second run after the entry VM is killed during the first.
 
-        The booking runs at the service; its entry VM is killed before it can
-        answer; the caller sends it again, with the same key, to another entry VM.
+        The caller retries with the same key at another entry VM.
         """
         job = scenario.job(JobKind.KEYED_CALL)
         future = scenario.begin(scenario.caller(at="e1"), job)
@@ -45,10 +44,9 @@
         assert find_violations(scenario.history()) == []
 
     def test_two_entry_vms_get_one_key_at_once(self, scenario: Scenario) -> None:
-        """One fryer would be sold to two buyers.
+        """Guards against concurrent claims of one key that all run.
 
-        An impatient caller sends a listing through three entry VMs side by side;
-        none of them has read the others' claim when it claims the key.
+        Three entry VMs get the same key at once and have not read the other claims.
         """
         job = scenario.job(JobKind.KEYED_CALL)
         futures = [
@@ -61,9 +59,9 @@
         assert find_violations(scenario.history()) == []
 
     def test_answers_of_the_log_are_lost(self, scenario: Scenario) -> None:
-        """A claim whose answer was lost would be made again, and both would send.
+        """Guards against a claim that is repeated after a lost answer and runs twice.
 
-        The log takes every append and drops each answer for a while.
+        The log accepts all appends and loses answers for a while.
         """
         log = scenario.cluster.standin_by_id["log"]
         log.set_faults(lose_answers={"share": 0.7, "seed": 3})
@@ -79,10 +77,9 @@
         assert find_violations(scenario.history()) == []
 
     def test_an_outage_of_the_log(self, scenario: Scenario) -> None:
-        """Bookings would run twice when the claims cannot be written down.
+        """Guards against a second run while claims cannot be written to the log.
 
-        A booking runs; the log goes down; the caller, who lost the answer, repeats it
-        at every entry VM, and sends a new one.
+        The caller repeats an answered call at every entry VM and sends a new one.
         """
         first = scenario.job(JobKind.KEYED_CALL)
         scenario.caller(at="e1").send(first)
@@ -98,14 +95,13 @@
         assert count_runs(scenario, second.id) == 1
         assert find_violations(scenario.history()) == []
 
-    def test_an_entry_vm_frozen_between_claim_and_send(
+    def test_an_entry_vm_paused_between_claim_and_send(
         self,
         scenario: Scenario,
     ) -> None:
-        """A family would be charged twice, by an entry VM that woke up late.
+        """Guards against a second run by an entry VM that resumes after a pause.
 
-        Bookings pass through an entry VM while it is paused again and again, past its
-        leases; their callers repeat them elsewhere; the paused VM goes on unaware.
+        It is paused past its leases while callers repeat their calls elsewhere.
         """
         jobs = [scenario.job(JobKind.KEYED_CALL) for _ in range(6)]
         first = [
--- a/tests/test_promises_engines.py
+++ b/tests/test_promises_engines.py
@@ -1,4 +1,4 @@
-"""Right versions, no eviction under a run, and leaving engines, with real processes."""
+"""Adapter versions, evictions and leaving engines, with real processes."""
 
 import time
 from collections.abc import Iterator
@@ -15,7 +15,7 @@
 
 pytestmark = pytest.mark.xdist_group("promises-engines")
 
-# Six adapters share four slots, so that somebody always waits for an eviction.
+# Six adapters share four slots, so that some request always waits for an eviction.
 STREAMS = LoadConfig(
     ADAPTERS,
     SERVICES,
@@ -42,10 +42,10 @@
 
 
 class TestEviction:
-    """An adapter that a running request uses is never evicted under it."""
+    """An adapter is never evicted while a request uses it."""
 
     def test_more_adapters_than_slots(self, scenario: Scenario) -> None:
-        """A stream would break because another customer's adapter was loaded.
+        """Guards against evicting the adapter of a running stream.
 
         Streams of six adapters compete for four slots.
         """
@@ -55,10 +55,9 @@
         assert find_violations(scenario.history()) == []
 
     def test_the_holder_dies_under_streams(self, scenario: Scenario) -> None:
-        """Streams through other entry VMs would break after a lease change.
+        """Guards against evictions under permits of a killed lease holder.
 
-        A lease holder is killed; the next one does not know which permits it had
-        granted, and callers wait for evictions.
+        The next holder does not know these permits, and requests wait for evictions.
         """
         with scenario.load(STREAMS):
             time.sleep(2.0)
@@ -67,11 +66,10 @@
         assert count_unloads(scenario) > 0
         assert find_violations(scenario.history()) == []
 
-    def test_the_holder_is_frozen_past_its_lease(self, scenario: Scenario) -> None:
-        """Two holders would order the same engine, and evict under a run.
+    def test_the_holder_is_paused_past_its_lease(self, scenario: Scenario) -> None:
+        """Guards against orders of two holders to the same engine.
 
-        A holder is paused for longer than its lease, another takes over, the first
-        goes on and believes itself the holder. The engines ignore fencing numbers.
+        A holder resumes after another took over. The engines ignore fencing numbers.
         """
         with scenario.load(STREAMS):
             time.sleep(1.5)
@@ -84,10 +82,10 @@
 
 
 class TestVersions:
-    """Every request runs on the version that its entry names."""
+    """Every request runs on the version in the catalogue."""
 
     def test_queued_requests_move_to_the_new_version(self, scenario: Scenario) -> None:
-        """A parent would get a summary by a version that was withdrawn.
+        """Guards against running queued requests on a replaced version.
 
         Requests queue for busy engines while the entry's version changes.
         """
@@ -106,10 +104,10 @@
         self,
         scenario: Scenario,
     ) -> None:
-        """A withdrawn version would be served for as long as a cut lasts.
+        """Guards against serving a replaced version during a partition.
 
-        One entry VM loses the log and the VM list; the version changes; callers stay
-        with the cut VM, which hears of it from its peers or refuses.
+        One entry VM loses the log and the VM list; it gets the new version from its
+        peers or refuses.
         """
         address = scenario.cluster.entry_by_id["e3"].address
         for standin in ("log", "vms"):
@@ -122,10 +120,10 @@
         assert find_violations(scenario.history()) == []
 
     def test_an_isolated_entry_vm_refuses(self) -> None:
-        """A withdrawn version would be served by a VM that nobody can tell of it.
+        """Guards against serving a replaced version in complete isolation.
 
-        One entry VM loses the log, the VM list and all its peers, but not its callers
-        and engines; the version changes.
+        One entry VM loses the log, the VM list and all peers, but not its callers and
+        engines.
         """
         with running_scenario(relays=True) as scenario:
             address = scenario.cluster.entry_by_id["e3"].address
@@ -143,11 +141,10 @@
             assert find_violations(scenario.history()) == []
 
     def test_a_holder_paused_and_isolated_serves_nothing_old(self) -> None:
-        """A VM that slept through a withdrawal would serve what waits at its door.
+        """Guards against serving buffered requests with a replaced version.
 
-        The holder of an engine is paused and cut from the log, the VM list and its
-        peers; the version changes; requests arrive; it goes on before any of its
-        tasks has noticed how long it slept.
+        The holder of an engine is paused and isolated while the version changes and
+        requests arrive, then resumes before any actor has detected the pause.
         """
         with running_scenario(relays=True) as scenario:
             holder = scenario.operator.read_holders()["g1"]
@@ -171,13 +168,12 @@
 
 
 class TestLeaving:
-    """An endpoint that is leaving receives no new work within a few seconds."""
+    """A leaving endpoint receives no new work after a few seconds."""
 
     def test_a_leaving_engine_with_a_queue(self, scenario: Scenario) -> None:
-        """Requests would be sent to an engine that is about to go.
+        """Guards against sending requests to an engine that is leaving.
 
-        An engine with a queue is marked as leaving; its queue must move, its runs
-        must finish.
+        Its queued requests must move to other engines, and its runs must finish.
         """
         with scenario.load(STREAMS):
             time.sleep(2.0)
@@ -191,14 +187,13 @@
 class TestCrashPrompts:
     """A request that crashes every engine that runs it."""
 
-    def test_its_repeats_cost_a_bounded_number_of_engines(
+    def test_its_retries_crash_a_bounded_number_of_engines(
         self,
         scenario: Scenario,
     ) -> None:
-        """One seller's prompt would take down the whole service.
+        """Guards against one prompt that crashes all engines.
 
-        A caller sends a prompt that crashes engines, and sends it again whenever the
-        answer does not forbid it.
+        The caller retries it whenever the answer permits.
         """
         job = scenario.job(JobKind.STREAM, text="<<crash>>")
         scenario.caller().finish(job)
--- a/tests/test_promises_entries.py
+++ b/tests/test_promises_entries.py
@@ -1,4 +1,4 @@
-"""Planned stops that cut nothing, and edits that hold, with real processes."""
+"""Graceful stops and durable edits, with real processes."""
 
 import threading
 import time
@@ -15,7 +15,7 @@
 pytestmark = pytest.mark.xdist_group("promises-entries")
 
 MIXED = LoadConfig(ADAPTERS[:2], SERVICES, callers=6, think_s=0.02)
-LONG_STREAM_TOKENS = 200  # three seconds at the engines' pace
+LONG_STREAM_TOKENS = 200  # about three seconds
 
 
 @pytest.fixture
@@ -28,10 +28,9 @@
     """Every planned stop is a graceful shutdown."""
 
     def test_a_long_stream_outlives_the_stop(self, scenario: Scenario) -> None:
-        """A tutor's summary would end in the middle whenever a VM is replaced.
+        """Guards against streams that are cut off when an entry VM stops.
 
-        An entry VM is asked to stop right after a long stream began on it, and while
-        callers that keep an old list still connect.
+        It stops while a long stream runs and callers with a cached list connect.
         """
         job = scenario.job(JobKind.STREAM, max_tokens=LONG_STREAM_TOKENS)
         with scenario.load(MIXED):
@@ -42,7 +41,7 @@
         assert scenario.judge().violations == ()
 
     def test_all_entry_vms_are_replaced_one_by_one(self, scenario: Scenario) -> None:
-        """Callers would see errors at every release.
+        """Guards against errors for callers at a release.
 
         Each entry VM is replaced by a new one under load.
         """
@@ -61,10 +60,9 @@
     """An accepted edit is in force everywhere within seconds and never reverts."""
 
     def test_operators_race(self, scenario: Scenario) -> None:
-        """An operator would be told "accepted" and find another's version in force.
+        """Guards against accepting two edits of the same base revision.
 
-        Three operators edit one entry at once, each from the revision that it read,
-        while the log is slow and loses answers.
+        Three operators edit one entry while the log is slow and loses answers.
         """
         log = scenario.cluster.standin_by_id["log"]
         log.set_faults(slow_ms=60, lose_answers={"share": 0.4, "seed": 5})
@@ -95,14 +93,13 @@
         assert True in verdicts
         assert scenario.judge().violations == ()
 
-    def test_a_frozen_entry_vm_catches_up_past_expired_records(
+    def test_a_paused_entry_vm_catches_up_past_expired_records(
         self,
         scenario: Scenario,
     ) -> None:
-        """A VM that was paused would serve from half a catalogue.
+        """Guards against serving an incomplete catalogue after a gap in the log.
 
-        An entry VM is paused while versions change and the log drops what it had not
-        read; it goes on with a gap.
+        The log drops records that a paused entry VM has not read.
         """
         scenario.cluster.freeze_entry("e3")
         log = scenario.cluster.standin_by_id["log"]
@@ -119,10 +116,9 @@
         self,
         scenario: Scenario,
     ) -> None:
-        """A VM replaced in an outage would never serve, or serve half a catalogue.
+        """Guards against a VM that cannot serve after a restart in a log outage.
 
-        The log is down; an entry VM that holds no lease is killed and started anew;
-        it takes the whole catalogue from a peer, and learns who holds leases.
+        It gets the catalogue from a peer and the lease holders from routing hints.
         """
         assert scenario.operator.set_version(ADAPTERS[0], "2")
         loaded = scenario.job(JobKind.COMPLETION)
--- a/tests/test_promises_fuzz.py
+++ b/tests/test_promises_fuzz.py
@@ -1,4 +1,4 @@
-"""The fuzzing with fixed seeds, short enough for every run of the tests."""
+"""Short fuzzing runs with fixed seeds."""
 
 from pathlib import Path
 
@@ -12,7 +12,7 @@
 
 
 class TestFuzz:
-    """Real processes under random faults, any two at once."""
+    """Real processes under random faults, up to two at a time."""
 
     @pytest.mark.parametrize(
         "seed",
@@ -22,10 +22,9 @@
         ],
     )
     def test_no_promise_is_broken(self, seed: int, tmp_path: Path) -> None:
-        """Any of the brief's failures may come at any moment, together or twice.
+        """Guards against violations under faults, and against VMs that do not recover.
 
-        Faults drawn from the seed strike while callers send; afterwards every entry
-        VM serves again and holds the same catalogue.
+        Afterwards every entry VM must serve again and have the same catalogue.
         """
         config = FuzzConfig(seconds=SECONDS, seed=seed)
         with running_cluster(config.cluster, tmp_path) as cluster:
--- a/tests/test_request_gate.py
+++ b/tests/test_request_gate.py
@@ -1,4 +1,4 @@
-"""Requests wait for their callers without a thread."""
+"""Incomplete requests wait without a thread."""
 
 import socket
 import time
@@ -19,11 +19,11 @@
 TOO_LARGE = str(MAX_BUFFERED_BODY_BYTES + 1).encode()
 
 
-class TestIsWhole:
-    """When a thread may take a request."""
+class TestIsComplete:
+    """When a request can be passed to a thread."""
 
     @pytest.mark.parametrize(
-        ("data", "whole"),
+        ("data", "complete"),
         [
             (b"G", False),
             (HEAD, False),
@@ -39,8 +39,8 @@
             (b"x" * request_gate.MAX_HEAD_BYTES, True),
         ],
     )
-    def test_is_whole(self, data: bytes, whole: bool) -> None:
-        assert is_complete(data) is whole
+    def test_is_complete(self, data: bytes, complete: bool) -> None:
+        assert is_complete(data) is complete
 
 
 def echo(environ: dict[str, Any], start_response: Any) -> Iterable[bytes]:
@@ -52,7 +52,7 @@
 
 
 class TestGatedServer:
-    """A server with one thread among callers that send slowly."""
+    """A server with one thread and slow callers."""
 
     @pytest.fixture
     def address(self, monkeypatch: pytest.MonkeyPatch) -> Iterator[tuple[str, int]]:
@@ -82,7 +82,7 @@
         body = b"x" * (4 * MAX_BUFFERED_BODY_BYTES)
         assert len(send(address, request("POST", "/", body)).text) > len(body)
 
-    def test_a_slow_caller_is_let_go_and_keeps_no_one_waiting(
+    def test_a_slow_caller_times_out_and_blocks_no_others(
         self, address: tuple[str, int]
     ) -> None:
         with silent_connections(address, 20, HEAD) as slow:
@@ -108,7 +108,7 @@
             assert send(address, request("GET", "/")).status == 200
             assert time.monotonic() - started < 0.5
 
-    def test_a_caller_that_goes_away_is_forgotten(
+    def test_a_caller_that_disconnects_is_dropped(
         self, address: tuple[str, int]
     ) -> None:
         started = time.monotonic()
