--- a/bamboovale/catalogue/__init__.py
+++ b/bamboovale/catalogue/__init__.py
@@ -1,1 +1,1 @@
-"""The catalogue aggregate: entries, revisions, fold, snapshots."""
+"""The catalogue: entries, edits, the fold of its log stream, and snapshots."""
--- a/bamboovale/catalogue/edits.py
+++ b/bamboovale/catalogue/edits.py
@@ -1,4 +1,4 @@
-"""Edits of the catalogue: what an operator asks for, and what became of it."""
+"""Edits of the catalogue and their outcomes."""
 
 import json
 import re
@@ -36,10 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One entry to be set or deleted.
+    """One entry to set or delete.
 
-    ``base_revision`` is the revision of the entry that the change replaces: 0 if
-    it must not exist, None if anything may be replaced.
+    ``base_revision`` is the expected current revision of the entry: 0 if it must
+    not exist, None for an unconditional change.
     """
 
     action: Action
@@ -61,10 +61,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """Changes that take effect together or not at all.
+    """Changes that are applied atomically.
 
-    ``made_at`` is the author's wall clock, for display only. Whoever repeats an
-    edit after a lost answer keeps its ``edit_id``; the fold takes the first copy.
+    ``made_at`` is the author's wall clock, for display only. A retry after a lost
+    response keeps the ``edit_id``; the fold applies only the first copy.
     """
 
     edit_id: str
@@ -83,7 +83,7 @@
         }
 
     def digest(self) -> str:
-        """Return a digest of what is asked for, without the time it was made."""
+        """Return a digest of the author and the changes, without ``made_at``."""
         content = [self.author, [change.to_json() for change in self.changes]]
         text = json.dumps(content, sort_keys=True, separators=(",", ":"))
         return blake2b(text.encode(), digest_size=DIGEST_BYTES).hexdigest()
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """A change whose base is not the entry's current revision.
+    """A change whose base revision is not the entry's current revision.
 
     ``current_revision`` is 0 if the entry does not exist.
     """
@@ -104,11 +104,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EditOutcome:
-    """What the fold decided about an edit, the same for every reader.
+    """The result of folding an edit, the same for every reader.
 
     ``revision`` is the catalogue's revision after the edit, whether it was
-    accepted or not. ``digest`` is that of the edit: with its id it tells whose
-    outcome this is.
+    accepted or not. ``digest`` is the edit's digest, which tells apart two edits
+    with the same id.
     """
 
     edit_id: str
@@ -122,7 +122,7 @@
 
 
 def parse_edit(value: Any) -> Result[Edit, list[Finding]]:
-    """Read an edit as the log or a caller gives it, or return every finding."""
+    """Parse an edit from its JSON form, or return every finding."""
     reader = FieldReader(value, "")
     if reader.findings:
         return Err(reader.findings)
@@ -154,7 +154,7 @@
 
 
 def parse_change(row: Any, place: str) -> Result[Change, list[Finding]]:
-    """Read one change, or return every finding with its place."""
+    """Parse one change, or return every finding with its place."""
     reader = FieldReader(row, place)
     if reader.findings:
         return Err(reader.findings)
--- a/bamboovale/catalogue/entries.py
+++ b/bamboovale/catalogue/entries.py
@@ -1,7 +1,7 @@
-"""Entries of the catalogue as operators write them and the log keeps them.
+"""Entries of the catalogue and their JSON form.
 
-``to_json`` writes every field, so that a default is decided once, when the edit
-is made; a later release with another default reads old entries unchanged.
+``to_json`` writes every field, so that a release with other defaults reads stored
+entries unchanged.
 """
 
 from dataclasses import dataclass, field
@@ -18,8 +18,6 @@
 DEFAULT_CONCURRENCY = 64
 DEFAULT_REQUESTS_PER_S = 100.0
 DEFAULT_MAX_TOKENS = 4096
-# A parent or a seller at the counter gives up within half a minute; overnight
-# work may wait for an hour before it is refused.
 DEFAULT_MAX_WAIT_S = {WorkClass.INTERACTIVE: 30.0, WorkClass.OVERNIGHT: 3600.0}
 DEFAULT_LOAD_SECONDS = 2.0
 DEFAULT_TIMEOUT_S = 10.0
@@ -27,7 +25,7 @@
 
 
 class Kind(StrEnum):
-    """What an entry describes."""
+    """Kind of a catalogue entry."""
 
     ADAPTER = "adapter"
     POOL = "pool"
@@ -36,9 +34,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What one entry may use at most, over all entry VMs together.
+    """Limits of one entry, shared by all entry VMs.
 
-    ``max_wait_s`` is the longest time a request may wait before it starts.
+    ``max_wait_s`` is the longest time that a request may be queued.
     """
 
     concurrency: int = DEFAULT_CONCURRENCY
@@ -58,10 +56,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AdapterEntry:
-    """A name callers use as ``model``, and the adapter version that answers it.
+    """A model name for callers and the adapter version that serves it.
 
-    ``revision`` is the catalogue revision that set the entry; the fold fills it in
-    and it takes no part in comparison.
+    ``revision`` is the catalogue revision that set the entry; the fold fills it in,
+    and comparisons ignore it.
     """
 
     name: str
@@ -82,7 +80,7 @@
 
     @property
     def target(self) -> AdapterVersion:
-        """Return what engines are asked to run for this entry."""
+        """Return the adapter version that engines run for this entry."""
         return AdapterVersion(self.adapter, self.version)
 
     def to_json(self) -> dict[str, Any]:
@@ -105,8 +103,8 @@
 class PoolEntry:
     """A group of runners with one base model.
 
-    ``checks_fencing`` says that its engines refuse an order with an old fencing
-    number; ``load_seconds`` is how long a load usually takes there.
+    ``checks_fencing`` says whether its engines reject orders with an old fencing
+    number; ``load_seconds`` is the usual duration of an adapter load.
     """
 
     name: str
@@ -133,7 +131,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceEntry:
-    """A plain service; ``pool`` names its VMs in the platform's VM list."""
+    """A service without adapters; ``pool`` names its VMs in the platform's VM list."""
 
     name: str
     pool: str
@@ -169,7 +167,7 @@
     place: str = "",
     revision: int = 0,
 ) -> Result[Entry, list[Finding]]:
-    """Read an entry, or return every finding with its place."""
+    """Parse an entry, or return every finding with its place."""
     reader = FieldReader(data, place)
     if reader.findings:
         return Err(reader.findings)
@@ -196,7 +194,7 @@
     )
     return AdapterEntry(
         name=name,
-        # One object for both in the usual case: memory at many thousand entries.
+        # Share one string object in the usual case, to save memory.
         adapter=name if adapter == name else adapter,
         version=intern(version),
         source=reader.text(
--- a/bamboovale/catalogue/fields.py
+++ b/bamboovale/catalogue/fields.py
@@ -1,4 +1,4 @@
-"""Typed reading of one JSON object, with every fault collected at its place."""
+"""Validated reading of one JSON object that collects every finding."""
 
 import re
 from typing import Any
@@ -11,10 +11,10 @@
 
 
 class FieldReader:
-    """Reads fields of ``data`` and keeps a finding for each that is wrong.
+    """Reads fields of ``data`` and records a finding for each invalid one.
 
-    A faulty field reads as its default, so that reading goes on and the operator
-    sees all findings at once; the caller drops the object if there are any.
+    An invalid field reads as its default, so that the operator sees all findings at
+    once; the caller discards the object if there are any.
     """
 
     def __init__(self, data: Any, place: str) -> None:
@@ -27,15 +27,15 @@
             self.findings.append(Finding(place, "must be an object"))
 
     def place_of(self, field: str) -> str:
-        """Return the place of a field of this object."""
+        """Return the path of a field of this object."""
         return f"{self._place}.{field}" if self._place else field
 
     def add(self, field: str, message: str) -> None:
-        """Keep a finding about a field."""
+        """Record a finding about a field."""
         self.findings.append(Finding(self.place_of(field), message))
 
     def take(self, field: str) -> Any:
-        """Return a raw field, None when absent."""
+        """Remove and return the raw value of a field, None if absent."""
         return self._unread.pop(field, None)
 
     def text(
@@ -45,7 +45,7 @@
         pattern: re.Pattern[str] = NAME,
         default: str | None = None,
     ) -> str:
-        """Read a string that matches the pattern as a whole."""
+        """Read a string that fully matches the pattern."""
         value = self.take(field)
         if value is None and default is not None:
             return default
@@ -60,7 +60,7 @@
         return ""
 
     def choice(self, field: str, choices: tuple[str, ...], default: str) -> str:
-        """Read one of a closed list of strings."""
+        """Read one of a fixed set of strings."""
         value = self.take(field)
         if value is None:
             return default
@@ -80,7 +80,7 @@
         return value
 
     def integer(self, field: str, *, default: int, low: int, high: int) -> int:
-        """Read a whole number within bounds, both included."""
+        """Read an integer from ``low`` to ``high``, both included."""
         value = self.take(field)
         if value is None:
             return default
@@ -93,7 +93,7 @@
         return default
 
     def number(self, field: str, *, default: float, low: float, high: float) -> float:
-        """Read a finite number within bounds, both included."""
+        """Read a finite number from ``low`` to ``high``, both included."""
         value = self.take(field)
         if value is None:
             return default
@@ -106,7 +106,7 @@
         return default
 
     def finish(self) -> list[Finding]:
-        """Add a finding for each field nobody read, and return all findings."""
+        """Add a finding for each field that was not read, and return all findings."""
         for field in self._unread:
             self.add(str(field)[:128], "is not a known field")
         return self.findings
