--- a/bamboovale/catalogue/fold.py
+++ b/bamboovale/catalogue/fold.py
@@ -1,8 +1,8 @@
-"""The catalogue as a deterministic fold of its stream on the log.
+"""The catalogue as a deterministic fold of its log stream.
 
 Every entry VM applies the same records in the same order and so reaches the same
-state and the same verdict on each edit, whoever appended it. The revision is the
-offset of the last accepted edit plus one.
+state and the same outcome of each edit. The revision is the offset of the last
+accepted edit plus one.
 """
 
 import json
@@ -31,7 +31,7 @@
     ServiceEntry,
 )
 from bamboovale.catalogue.history import (
-    HISTORY_CHANGES_PER_EDIT,
+    MAX_HISTORY_CHANGES_PER_EDIT,
     EditHistory,
     EntryChange,
     HistoryRecord,
@@ -45,8 +45,8 @@
 class CatalogueGapError(Exception):
     """Records between ``next_offset`` and ``offset`` were not read.
 
-    The fold is unchanged. Only a snapshot taken at or after the oldest kept offset
-    leads on from here.
+    The state is unchanged. The reader needs a snapshot taken at or after the oldest
+    retained offset to continue.
     """
 
     def __init__(self, next_offset: int, offset: int) -> None:
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class CatalogueCounters:
-    """Counts for metrics; they are no part of the folded state."""
+    """Counters for metrics; not part of the replicated state."""
 
     accepted: int = 0
     rejected: int = 0
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CatalogueView:
-    """The catalogue at one revision, safe to hand to other threads."""
+    """An immutable view of the catalogue at one revision, safe to share."""
 
     revision: int
     next_offset: int
@@ -93,7 +93,7 @@
 
 
 class Catalogue:
-    """The folded catalogue; owned by the one task that reads the stream."""
+    """The catalogue state; owned by the actor that reads the stream."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -125,10 +125,10 @@
         return self.index.service_by_name
 
     def outcome_of(self, edit_id: str, digest: str) -> EditOutcome | None:
-        """Return what became of an edit, None if unknown or too long ago.
+        """Return the outcome of an edit, None if unknown or no longer remembered.
 
-        An id that belongs to an edit with other contents is a rejection: its
-        sender must not be told the other's outcome.
+        An id that was used by an edit with other contents gives a rejection, so that
+        the sender does not receive the outcome of another edit.
         """
         known = self.edit_history.outcome_by_edit_id.get(edit_id)
         if known is None or known.digest == digest:
@@ -143,7 +143,7 @@
         )
 
     def view(self) -> CatalogueView:
-        """Return the state as a frozen view; the same one until the next change."""
+        """Return an immutable view, cached until the next change."""
         if self._view is None:
             self._view = CatalogueView(
                 revision=self.revision,
@@ -158,10 +158,9 @@
         return self._view
 
     def apply(self, offset: int, value: Any) -> EditOutcome | None:
-        """Fold one record; return the outcome if it is an edit.
+        """Apply one record; return the outcome if it is an edit.
 
-        A record that was folded before is passed over (a reader may read again).
-        A snapshot found here changes nothing: its state was folded already.
+        Records that were applied before and snapshots change nothing.
         Raises :class:`CatalogueGapError` if records are missing before this one.
         """
         if offset < self.next_offset:
@@ -180,11 +179,10 @@
         return outcome
 
     def adopt(self, other: "Catalogue") -> bool:
-        """Take over another fold's state if it has read at least as far.
+        """Replace the state by another's; return False if that is older.
 
-        A snapshot or a peer's state may be older than what is in force here. Taking
-        it would revert accepted edits until the log is read again, and in an outage
-        of the log for as long as that lasts; it is refused and counted.
+        An older snapshot or peer state would revert accepted edits until the log is
+        read again; it is refused and counted.
         """
         if other.next_offset < self.next_offset or other.revision < self.revision:
             self.counters.regressions += 1
@@ -205,15 +203,15 @@
         digest = edit.digest()
         known = self.outcome_of(edit.edit_id, digest)
         if known is not None:
-            # An append whose answer was lost is repeated with the same id; both
+            # An append whose response was lost is retried with the same id; both
             # copies may be on the log. Only the first takes effect.
             self.counters.repeated += 1
             return known
-        outcome = self._judge(offset, edit, digest)
+        outcome = self._evaluate(offset, edit, digest)
         self.edit_history.remember(outcome)
         return outcome
 
-    def _judge(self, offset: int, edit: Edit, digest: str) -> EditOutcome:
+    def _evaluate(self, offset: int, edit: Edit, digest: str) -> EditOutcome:
         rejected = EditOutcome(
             edit_id=edit.edit_id,
             accepted=False,
@@ -281,7 +279,7 @@
             if entry_change.before == entry_change.after:
                 continue
             changed += 1
-            if len(listed) < HISTORY_CHANGES_PER_EDIT:
+            if len(listed) < MAX_HISTORY_CHANGES_PER_EDIT:
                 listed.append(entry_change)
         self.edit_history.add(
             HistoryRecord(
@@ -308,8 +306,8 @@
             )
             return EntryChange(change.kind, change.name, before, None)
         if before == change.entry:
-            # A file applied again: what it leaves as it was keeps its revision, so
-            # that it conflicts with nobody and fills no history.
+            # An unchanged entry keeps its revision: applying the same file again
+            # causes no conflicts and no history.
             return EntryChange(change.kind, change.name, before, before)
         after = replace(change.entry, revision=revision)
         self.index.put(after)
--- a/bamboovale/catalogue/history.py
+++ b/bamboovale/catalogue/history.py
@@ -1,4 +1,4 @@
-"""What became of past edits: their outcomes by edit id, and a bounded history."""
+"""Outcomes of past edits by edit id, and a bounded history of accepted edits."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -7,18 +7,17 @@
 from bamboovale.catalogue.edits import EditOutcome
 from bamboovale.catalogue.entries import Entry, Kind
 
-# At 280 edits a day the outcomes reach back a week. A copy of an edit that comes
-# later than that is judged afresh: by its base revisions it is a conflict; without
-# them it would be applied again.
-OUTCOMES = 2048
-HISTORY_EDITS = 512
-HISTORY_CHANGES = 2048
-HISTORY_CHANGES_PER_EDIT = 256
+# A duplicate of an edit whose outcome was dropped is evaluated again: it conflicts
+# by its base revisions, or is applied a second time if it has none.
+MAX_OUTCOMES = 2048
+MAX_HISTORY_EDITS = 512
+MAX_HISTORY_CHANGES = 2048
+MAX_HISTORY_CHANGES_PER_EDIT = 256
 
 
 @dataclass(frozen=True, slots=True)
 class EntryChange:
-    """One entry before and after an edit; None where there was or is none."""
+    """One entry before and after an edit; None if it did or does not exist."""
 
     kind: Kind
     name: str
@@ -59,7 +58,7 @@
 
 
 class EditHistory:
-    """Outcomes and history, the oldest dropped beyond their bounds."""
+    """Outcomes and history, both bounded; the oldest are dropped."""
 
     def __init__(self) -> None:
         self.outcome_by_edit_id: dict[str, EditOutcome] = {}
@@ -67,16 +66,16 @@
         self._change_count = 0
 
     def remember(self, outcome: EditOutcome) -> None:
-        """Keep the outcome of an edit."""
+        """Store the outcome of an edit."""
         self.outcome_by_edit_id[outcome.edit_id] = outcome
-        while len(self.outcome_by_edit_id) > OUTCOMES:
+        while len(self.outcome_by_edit_id) > MAX_OUTCOMES:
             del self.outcome_by_edit_id[next(iter(self.outcome_by_edit_id))]
 
     def add(self, record: HistoryRecord) -> None:
         """Append an accepted edit to the history."""
         self.history.append(record)
         self._change_count += len(record.changes)
-        while len(self.history) > HISTORY_EDITS or (
-            self._change_count > HISTORY_CHANGES and len(self.history) > 1
+        while len(self.history) > MAX_HISTORY_EDITS or (
+            self._change_count > MAX_HISTORY_CHANGES and len(self.history) > 1
         ):
             self._change_count -= len(self.history.popleft().changes)
--- a/bamboovale/catalogue/index.py
+++ b/bamboovale/catalogue/index.py
@@ -1,4 +1,4 @@
-"""Current entries of the catalogue with the indexes that its rules need."""
+"""Current entries of the catalogue, with indexes for its validation rules."""
 
 from collections import Counter
 from collections.abc import Iterator, Mapping
@@ -13,16 +13,15 @@
     ServiceEntry,
 )
 
-# Sources of versions that no entry names any more, so that such a version cannot
-# come back with other weights while an engine may still hold the old ones. At 280
-# changes a day, this many last for three days at least.
-RETIRED_SOURCES = 1024
-TOMBSTONES = 4096
+# Sources of versions that no entry names any more are remembered, so that such a
+# version cannot return with other weights while an engine may still hold the old ones.
+MAX_RETIRED_SOURCES = 1024
+MAX_TOMBSTONES = 4096
 
 
 @dataclass(frozen=True, slots=True)
 class Source:
-    """Where an adapter version's weights come from, and what they fit."""
+    """Location of an adapter version's weights, and their base model."""
 
     source: str
     base_model: str
@@ -35,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tombstone:
-    """What is kept of a deleted entry."""
+    """Record of a deleted entry."""
 
     kind: Kind
     name: str
@@ -45,10 +44,10 @@
 
 
 class EntryIndex:
-    """Entries by kind and name; written by the fold only.
+    """Entries by kind and name; only the fold writes them.
 
-    The dictionaries are copied before a write if they were handed out since the
-    last one, so that a reader on another thread never sees one change.
+    Copy-on-write: the dictionaries are copied before a write if a view of them was
+    returned since the last one, so that readers on other threads see no change.
     """
 
     def __init__(self) -> None:
@@ -56,7 +55,7 @@
         self._pool_by_name: dict[str, PoolEntry] = {}
         self._service_by_name: dict[str, ServiceEntry] = {}
         self._shared = False
-        # Only entries whose name differs from their adapter's stand here: few.
+        # Contains only entries whose name differs from their adapter's.
         self._aliases_by_adapter: dict[str, set[str]] = {}
         self._adapter_count_by_pool: Counter[str] = Counter()
         self.retired_source_by_lora_name: dict[str, Source] = {}
@@ -64,19 +63,19 @@
 
     @property
     def adapter_by_name(self) -> Mapping[str, AdapterEntry]:
-        """Return adapter entries as they are now; later writes do not show."""
+        """Return a read-only snapshot of the adapter entries."""
         self._shared = True
         return MappingProxyType(self._adapter_by_name)
 
     @property
     def pool_by_name(self) -> Mapping[str, PoolEntry]:
-        """Return pool entries as they are now; later writes do not show."""
+        """Return a read-only snapshot of the pool entries."""
         self._shared = True
         return MappingProxyType(self._pool_by_name)
 
     @property
     def service_by_name(self) -> Mapping[str, ServiceEntry]:
-        """Return service entries as they are now; later writes do not show."""
+        """Return a read-only snapshot of the service entries."""
         self._shared = True
         return MappingProxyType(self._service_by_name)
 
@@ -89,7 +88,7 @@
         return self._service_by_name.get(name)
 
     def entries(self) -> Iterator[Entry]:
-        """Return all entries in the order of kind and name."""
+        """Yield all entries, ordered by kind and name."""
         for table in (
             self._pool_by_name,
             self._service_by_name,
@@ -99,7 +98,7 @@
                 yield table[name]
 
     def users_of_adapter(self, adapter: str) -> Iterator[AdapterEntry]:
-        """Return the entries that name this adapter, at whatever version."""
+        """Yield the entries that name this adapter, at any version."""
         same_name = self._adapter_by_name.get(adapter)
         if same_name is not None and same_name.adapter == adapter:
             yield same_name
@@ -107,7 +106,7 @@
             yield self._adapter_by_name[name]
 
     def adapters_in_pool(self, pool: str) -> list[AdapterEntry]:
-        """Return the adapter entries of a pool in the order of their names."""
+        """Return the adapter entries of a pool, ordered by name."""
         if not self._adapter_count_by_pool[pool]:
             return []
         found = [
@@ -117,9 +116,9 @@
 
     def put(self, entry: Entry) -> None:
         """Set an entry, replacing the one of its kind and name."""
-        self._unshare()
+        self._copy_if_shared()
         if isinstance(entry, AdapterEntry):
-            self._forget_adapter(entry.name)
+            self._remove_adapter(entry.name)
             self._adapter_by_name[entry.name] = entry
             self._adapter_count_by_pool[entry.pool] += 1
             if entry.adapter != entry.name:
@@ -132,10 +131,10 @@
         self.tombstone_by_key.pop((entry.kind, entry.name), None)
 
     def remove(self, tombstone: Tombstone) -> None:
-        """Remove an entry and keep its tombstone."""
-        self._unshare()
+        """Remove an entry and add its tombstone."""
+        self._copy_if_shared()
         if tombstone.kind is Kind.ADAPTER:
-            self._forget_adapter(tombstone.name)
+            self._remove_adapter(tombstone.name)
         elif tombstone.kind is Kind.POOL:
             self._pool_by_name.pop(tombstone.name, None)
         else:
@@ -143,19 +142,19 @@
         self.add_tombstone(tombstone)
 
     def add_tombstone(self, tombstone: Tombstone) -> None:
-        """Keep a tombstone, dropping the oldest beyond the bound."""
+        """Add a tombstone; drop the oldest beyond ``MAX_TOMBSTONES``."""
         key = (tombstone.kind, tombstone.name)
         self.tombstone_by_key.pop(key, None)
         self.tombstone_by_key[key] = tombstone
-        _drop_oldest(self.tombstone_by_key, TOMBSTONES)
+        _drop_oldest(self.tombstone_by_key, MAX_TOMBSTONES)
 
     def add_retired_source(self, lora_name: str, source: Source) -> None:
-        """Keep the source of a version, dropping the oldest beyond the bound."""
+        """Add the source of a version; drop the oldest beyond ``MAX_RETIRED_SOURCES``."""
         self.retired_source_by_lora_name.pop(lora_name, None)
         self.retired_source_by_lora_name[lora_name] = source
-        _drop_oldest(self.retired_source_by_lora_name, RETIRED_SOURCES)
+        _drop_oldest(self.retired_source_by_lora_name, MAX_RETIRED_SOURCES)
 
-    def _forget_adapter(self, name: str) -> None:
+    def _remove_adapter(self, name: str) -> None:
         entry = self._adapter_by_name.pop(name, None)
         if entry is None:
             return
@@ -167,7 +166,7 @@
                 del self._aliases_by_adapter[entry.adapter]
         self.add_retired_source(entry.target.lora_name, Source.of_entry(entry))
 
-    def _unshare(self) -> None:
+    def _copy_if_shared(self) -> None:
         if not self._shared:
             return
         self._adapter_by_name = dict(self._adapter_by_name)
