--- a/bamboovale/catalogue/actor.py
+++ b/bamboovale/catalogue/actor.py
@@ -1,4 +1,4 @@
-"""Reads the catalogue's stream, folds it and publishes the result."""
+"""The actor that folds the catalogue stream and publishes the current view."""
 
 import logging
 from collections.abc import Callable
@@ -24,16 +24,16 @@
 CATALOGUE_STREAM = "catalogue"
 
 SNAPSHOT_AFTER_RECORDS = 500
-"""A VM that starts late reads at most this many records behind a snapshot."""
+"""Bounds the records that a starting VM reads after a snapshot."""
 
 SNAPSHOTS_PER_RETENTION = 4
-"""A snapshot is repeated this often within the log's retention, so that one failed
-append or a change of its writer never lets the last one expire."""
+"""Snapshots per retention time of the log, so that a failed append or a change of the
+writer does not let the last one expire."""
 
-ASK_PEER_EVERY_S = 1.0
+QUERY_PEER_INTERVAL_S = 1.0
 
 MAX_WAITING_EDITS = 256
-"""Edits that were never read back are waited for no longer once as many follow."""
+"""Beyond this number the oldest waits are dropped: those edits may never be read."""
 
 logger = logging.getLogger(__name__)
 
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class CatalogueRecordsForwarded:
-    """Records that a peer passed on."""
+    """Records that a peer forwarded."""
 
     first_offset: int
     values: tuple[Any, ...]
@@ -55,14 +55,14 @@
 
 @dataclass(frozen=True)
 class PeerSnapshotReceived:
-    """A whole catalogue from a peer, None if it had none."""
+    """A catalogue snapshot from a peer, None if it had none."""
 
     snapshot: Any
 
 
 @dataclass(frozen=True)
 class PeerIsAhead:
-    """A peer has read further than this VM."""
+    """A peer has read the stream further than this VM."""
 
     vm_id: str
     next_offset: int
@@ -70,9 +70,9 @@
 
 @dataclass(frozen=True)
 class AwaitOutcome:
-    """Settle the future when the edit is read back.
+    """Resolve the future when the edit is read from the log.
 
-    ``digest`` tells it from another edit that was given the same id.
+    ``digest`` distinguishes it from another edit with the same id.
     """
 
     edit_id: str
@@ -82,14 +82,14 @@
 
 @dataclass(frozen=True)
 class SnapshotRoleChanged:
-    """Whether this VM writes the snapshots of the catalogue."""
+    """This VM has become, or is no longer, the writer of catalogue snapshots."""
 
     is_writer: bool
 
 
 @dataclass(frozen=True)
 class SnapshotRequested:
-    """A peer wants the whole catalogue."""
+    """A peer requests a catalogue snapshot."""
 
     reply: Callable[[Any], None]
 
@@ -101,7 +101,13 @@
 
 @dataclass(frozen=True)
 class CatalogueCallbacks:
-    """What the keeper does with what it learns; called from its own thread."""
+    """Callbacks of the catalogue actor, called on its thread.
+
+    ``forward(first_offset, values)`` sends new records to peers,
+    ``ask_peer(vm_id)`` requests a snapshot from that peer (any if None),
+    ``seek(offset)`` moves the follower of the stream, and
+    ``on_version_changed(old, new, source)`` gets the LoRA names of a replaced version.
+    """
 
     forward: Callable[[int, tuple[Any, ...]], None]
     ask_peer: Callable[[str | None], None]
@@ -127,14 +133,14 @@
         self._callbacks = callbacks
         self._catalogue = Catalogue.empty()
         self._assembler: SnapshotAssembler | None = None
-        # End of the stream, as far as the log was heard to tell it.
+        # Last known end of the stream.
         self._log_end = 0
-        self._settled: list[tuple[Future[EditOutcome], EditOutcome]] = []
+        self._unresolved: list[tuple[Future[EditOutcome], EditOutcome]] = []
         self._waiting_by_edit: dict[tuple[str, str], list[Future[EditOutcome]]] = {}
         self._is_snapshot_writer = False
         self._snapshot_at_offset = 0
         self._next_snapshot_at = float("inf")
-        self._next_ask_at = 0.0
+        self._next_query_at = 0.0
         self.handle(CatalogueBatchRead, self._on_batch)
         self.handle(CatalogueRecordsForwarded, self._on_forwarded)
         self.handle(PeerSnapshotReceived, self._on_peer_catalogue)
@@ -145,15 +151,15 @@
         self.handle(Tick, self._on_tick)
         self.handle(DumpCatalogue, self._on_dump)
 
-    # Reading.
+    # Reading the stream.
 
     def _on_batch(self, message: CatalogueBatchRead) -> None:
         batch = message.batch
         self._log_end = max(self._log_end, batch.end)
         if batch.first > self._catalogue.next_offset and self._assembler is None:
-            logger.warning("catalogue: records expired before they were read")
+            logger.warning("catalogue: records expired before this VM read them")
             self._assembler = SnapshotAssembler(batch.first)
-            # What is here may have been replaced by what expired: not served.
+            # The expired records may have changed entries: stop serving the old view.
             self._views.catalogue = None
             self._callbacks.ask_peer(None)
         if self._assembler is not None:
@@ -183,11 +189,11 @@
             return
         edit = (outcome.edit_id, outcome.digest)
         for future in self._waiting_by_edit.pop(edit, []):
-            self._settled.append((future, outcome))
+            self._unresolved.append((future, outcome))
         if outcome.accepted and before is not None:
-            self._tell_version_changes(before, value)
+            self._report_version_changes(before, value)
 
-    def _tell_version_changes(self, before: Any, value: Any) -> None:
+    def _report_version_changes(self, before: Any, value: Any) -> None:
         if value.get("type") != EDIT_TYPE:
             return
         for change in value["changes"]:
@@ -203,11 +209,10 @@
             )
 
     def _publish(self) -> None:
-        """Serve what was folded, then tell those who wait for it.
+        """Publish the current view, then resolve the futures that wait for it.
 
-        A VM that does not serve yet first reads up to the end of the stream: from a
-        snapshot on the log alone it would serve what accepted edits have replaced
-        since, and in an outage of the log for as long as that lasts.
+        The first view is published only at the end of the stream: guards against
+        serving an old snapshot whose entries later edits have replaced.
         """
         before = self._views.catalogue
         if before is not None or self._catalogue.next_offset >= self._log_end:
@@ -216,8 +221,8 @@
             self._views.catalogue = view
             if before is None or before.revision != view.revision:
                 self._callbacks.on_change()
-        settled, self._settled = self._settled, []
-        for future, outcome in settled:
+        unresolved, self._unresolved = self._unresolved, []
+        for future, outcome in unresolved:
             future.set_result(outcome)
 
     # Gaps and peers.
@@ -234,25 +239,25 @@
         try:
             other = read_snapshot(snapshot)
         except SnapshotInvalidError as error:
-            logger.warning("catalogue: a snapshot cannot be used: %s", error)
+            logger.warning("catalogue: invalid snapshot ignored: %s", error)
             return
         if not self._catalogue.adopt(other):
             return
-        logger.info("catalogue: took over a snapshot at offset %d", other.next_offset)
+        logger.info("catalogue: adopted a snapshot at offset %d", other.next_offset)
         self._assembler = None
         self._callbacks.seek(self._catalogue.next_offset)
-        self._settle_waiting()
+        self._match_waiting()
         self._publish()
 
-    def _settle_waiting(self) -> None:
+    def _match_waiting(self) -> None:
         for edit_id, digest in list(self._waiting_by_edit):
             outcome = self._catalogue.outcome_of(edit_id, digest)
             if outcome is not None:
                 for future in self._waiting_by_edit.pop((edit_id, digest)):
-                    self._settled.append((future, outcome))
+                    self._unresolved.append((future, outcome))
 
     def _on_forwarded(self, message: CatalogueRecordsForwarded) -> None:
-        """Fold what a peer passed on, if it follows what is here."""
+        """Fold records that a peer forwarded, unless they leave a gap."""
         if self._views.catalogue is None or self._assembler is not None:
             return
         if message.first_offset > self._catalogue.next_offset:
@@ -275,13 +280,13 @@
         now = self._environment.now()
         if message.next_offset <= self._catalogue.next_offset:
             return
-        if now >= self._next_ask_at:
-            self._next_ask_at = now + ASK_PEER_EVERY_S
+        if now >= self._next_query_at:
+            self._next_query_at = now + QUERY_PEER_INTERVAL_S
             self._callbacks.ask_peer(message.vm_id)
 
     def _on_snapshot_asked(self, message: SnapshotRequested) -> None:
-        whole = self._views.catalogue is not None
-        message.reply(write_snapshot(self._catalogue) if whole else None)
+        complete = self._views.catalogue is not None
+        message.reply(write_snapshot(self._catalogue) if complete else None)
 
     # Edits.
 
@@ -304,8 +309,8 @@
     def _on_tick(self, _: Tick) -> None:
         now = self._environment.now()
         if self._views.catalogue is None:
-            if now >= self._next_ask_at:
-                self._next_ask_at = now + ASK_PEER_EVERY_S
+            if now >= self._next_query_at:
+                self._next_query_at = now + QUERY_PEER_INTERVAL_S
                 self._callbacks.ask_peer(None)
             return
         if self._is_snapshot_writer and self._snapshot_is_due(now):
--- a/bamboovale/catalogue/index.py
+++ b/bamboovale/catalogue/index.py
@@ -149,7 +149,7 @@
         _drop_oldest(self.tombstone_by_key, MAX_TOMBSTONES)
 
     def add_retired_source(self, lora_name: str, source: Source) -> None:
-        """Add the source of a version; drop the oldest beyond ``MAX_RETIRED_SOURCES``."""
+        """Add a retired source; drop the oldest beyond ``MAX_RETIRED_SOURCES``."""
         self.retired_source_by_lora_name.pop(lora_name, None)
         self.retired_source_by_lora_name[lora_name] = source
         _drop_oldest(self.retired_source_by_lora_name, MAX_RETIRED_SOURCES)
--- a/bamboovale/catalogue/rules.py
+++ b/bamboovale/catalogue/rules.py
@@ -1,9 +1,9 @@
-"""Rules that an edit is judged by, at its offset, by every reader alike.
+"""Validation rules for edits, evaluated by every reader at the edit's offset.
 
-Judged here: base revisions, one change per entry, deletions of what exists, an
-adapter's pool and base model, pools still in use, and that one adapter version
-always means the same weights. Not judged: whether a service's pool or a weight
-store's source exists, which only the platform knows.
+They check base revisions, one change per entry, that deleted entries exist, an
+adapter's pool and base model, pools still in use, and that an adapter version always
+refers to the same weights. They do not check whether a service's pool or an adapter's
+source exists on the platform.
 """
 
 from collections.abc import Iterator, Sequence
@@ -13,15 +13,14 @@
 from bamboovale.catalogue.index import EntryIndex, Source
 from bamboovale.errors import Finding
 
-# An outcome stays small even if one edit breaks a pool of many thousand adapters.
+# Bounds the size of an outcome if an edit invalidates a pool with many adapters.
 MAX_FINDINGS = 20
 
 
 def find_conflicts(changes: Sequence[Change], index: EntryIndex) -> list[Conflict]:
     """Return the changes whose base is not the current revision of their entry.
 
-    Two operators who edit one entry from the same revision would each overwrite
-    what the other has just been told is accepted; the second is a conflict here.
+    Guards against lost updates by two operators who edit the same entry.
     """
     conflicts = []
     for change in changes:
@@ -42,7 +41,7 @@
 
 
 def validate_changes(changes: Sequence[Change], index: EntryIndex) -> list[Finding]:
-    """Return what would be wrong with the catalogue after the changes."""
+    """Return the findings about the catalogue as it would be after the changes."""
     staged = StagedEntries(changes, index)
     findings = list(_repeated(changes))
     for place, change in enumerate(changes):
@@ -59,7 +58,7 @@
 
 
 class StagedEntries:
-    """The entries as they would stand after an edit."""
+    """The entries as they would be after an edit."""
 
     def __init__(self, changes: Sequence[Change], index: EntryIndex) -> None:
         self.index = index
@@ -72,19 +71,19 @@
                 self._adapters_by_adapter.setdefault(entry.adapter, []).append(entry)
 
     def get(self, kind: Kind, name: str) -> Entry | None:
-        """Return the entry as it would stand."""
+        """Return the entry after the edit."""
         key = (kind, name)
         if key in self._entry_by_key:
             return self._entry_by_key[key]
         return self.index.get(kind, name)
 
     def users_of_adapter(self, adapter: str) -> Iterator[AdapterEntry]:
-        """Return entries that name the adapter, as they stand and as they would."""
+        """Yield entries that name the adapter, before and after the edit."""
         yield from self.index.users_of_adapter(adapter)
         yield from self._adapters_by_adapter.get(adapter, ())
 
     def unchanged_in_pool(self, pool: str) -> Iterator[AdapterEntry]:
-        """Return the pool's adapters that the edit itself does not touch."""
+        """Yield the pool's adapter entries that the edit does not change."""
         for entry in self.index.adapters_in_pool(pool):
             if (Kind.ADAPTER, entry.name) not in self._entry_by_key:
                 yield entry
@@ -127,9 +126,9 @@
             f"{prefix}.entry.base_model",
             f"pool {pool.name} runs {pool.base_model}",
         )
-    # Engines know a version by its name alone: were its source to change, an engine
-    # that holds the old weights would answer in the name of the new ones.
-    own = Source.of_entry(entry)
+    # Engines identify a version by its name alone: if its source changed, an engine
+    # that holds the old weights would serve them as the new ones.
+    new_source = Source.of_entry(entry)
     lora_name = entry.target.lora_name
     known = [
         (f"entry {user.name}", Source.of_entry(user))
@@ -139,11 +138,11 @@
     retired = staged.index.retired_source_by_lora_name.get(lora_name)
     if retired is not None:
         known.append(("an earlier entry", retired))
-    for who, source in known:
-        if source != own:
+    for origin, source in known:
+        if source != new_source:
             yield Finding(
                 f"{prefix}.entry.version",
-                f"{who} has {lora_name} from {source.source} for "
+                f"{origin} has {lora_name} from {source.source} for "
                 f"{source.base_model}; name a new version",
             )
             return
--- a/bamboovale/catalogue/snapshots.py
+++ b/bamboovale/catalogue/snapshots.py
@@ -1,6 +1,6 @@
-"""Whole states of the catalogue as values for the log and for peers.
+"""Serialized snapshots of the catalogue, for the log and for peers.
 
-On the log a snapshot is split into parts that each fit a record.
+On the log a snapshot is split into parts, each small enough for one record.
 """
 
 from collections.abc import Callable, Iterator
@@ -18,19 +18,19 @@
 
 SNAPSHOT_TYPE = "snapshot"
 FORMAT = 1
-# A record of the log may hold 1 MiB; the rest is for the part's other fields.
+# The log limits records to 1 MiB; the rest is for the other fields of a part.
 MAX_PART_CHARACTERS = 900 * 1024
-# Several entry VMs may write snapshots at the same time; parts of more than these
-# are dropped, the oldest first.
-MAX_OPEN_SNAPSHOTS = 4
+# Entry VMs may write snapshots at the same time; beyond this number the incomplete
+# ones are dropped, oldest first.
+MAX_INCOMPLETE_SNAPSHOTS = 4
 
 
 class SnapshotInvalidError(Exception):
-    """The value is no whole snapshot of a known format."""
+    """The value is not a complete snapshot in a known format."""
 
 
 def write_snapshot(catalogue: Catalogue) -> dict[str, Any]:
-    """Return the whole state as one value; equal states give equal values."""
+    """Return the complete state as one value; equal states give equal values."""
     data = pack_rows(_rows(catalogue))
     return {
         "type": SNAPSHOT_TYPE,
@@ -41,14 +41,14 @@
 
 
 def read_snapshot(value: Any) -> Catalogue:
-    """Return the state that a whole snapshot holds, or raise SnapshotInvalidError."""
+    """Return the state in a complete snapshot; raise SnapshotInvalidError."""
     try:
         if value["snapshot_id"] != f"{value['at']}-{checksum(value['data'])}":
-            raise SnapshotInvalidError("checksum does not match")
+            raise SnapshotInvalidError("snapshot checksum does not match its data")
         rows = unpack_rows(value["data"])
         header = next(rows)
         if header["format"] != FORMAT:
-            raise SnapshotInvalidError(f"format {header['format']} is unknown")
+            raise SnapshotInvalidError(f"unknown snapshot format {header['format']}")
         return _build(header, rows)
     except (KeyError, TypeError, ValueError, StopIteration, RowsInvalidError) as error:
         raise SnapshotInvalidError(str(error)) from error
@@ -58,7 +58,7 @@
     value: dict[str, Any],
     max_characters: int = MAX_PART_CHARACTERS,
 ) -> list[dict[str, Any]]:
-    """Return the records that carry a snapshot on the log."""
+    """Split a snapshot into the records that store it on the log."""
     data = value["data"]
     starts = range(0, len(data), max_characters)
     return [
@@ -75,11 +75,11 @@
 
 
 class SnapshotAssembler:
-    """Puts parts read from the log together for a reader that found a gap.
+    """Reassembles a snapshot from the log for a reader that found a gap.
 
-    ``first`` is the oldest kept offset. A snapshot taken before it is of no use:
-    the records between the two are gone. The reader adopts the snapshot and reads
-    on from its offset, which repeats a few records and needs no buffer.
+    ``first`` is the oldest retained offset. Snapshots taken before it are ignored:
+    the records between them and ``first`` are gone. The reader adopts the snapshot
+    and reads again from its offset, so that no records need to be buffered.
     """
 
     def __init__(self, first: int) -> None:
@@ -87,7 +87,7 @@
         self._data_by_part_by_id: dict[str, dict[int, str]] = {}
 
     def add(self, value: Any) -> dict[str, Any] | None:
-        """Take a record; return a whole snapshot once all its parts are there."""
+        """Add a record; return the snapshot once all its parts were added."""
         if not _is_part(value) or value["at"] < self._first:
             return None
         snapshot_id = value["snapshot_id"]
@@ -105,7 +105,7 @@
         }
 
     def _drop_oldest(self) -> None:
-        while len(self._data_by_part_by_id) > MAX_OPEN_SNAPSHOTS:
+        while len(self._data_by_part_by_id) > MAX_INCOMPLETE_SNAPSHOTS:
             del self._data_by_part_by_id[next(iter(self._data_by_part_by_id))]
 
 
@@ -154,8 +154,8 @@
     catalogue.revision = header["revision"]
     catalogue.next_offset = header["next_offset"]
     catalogue.digest = header["digest"]
-    # Rows of entries come before those of what they left behind, so that setting
-    # an entry here leaves no trace in the other tables.
+    # Rows of entries come before tombstones and retired sources, because putting an
+    # entry changes those tables.
     for name, *fields in rows:
         _READER_BY_ROW[name](catalogue, *fields)
     return catalogue
--- a/tests/test_catalogue_actor.py
+++ b/tests/test_catalogue_actor.py
@@ -1,4 +1,4 @@
-"""The task that folds the catalogue and settles what operators wait for."""
+"""The actor that folds the catalogue and resolves the futures of edits."""
 
 import logging
 from collections.abc import Iterator
@@ -43,7 +43,7 @@
 
 
 @pytest.fixture
-def keeper(views: Views) -> Iterator[pykka.ActorRef]:
+def actor(views: Views) -> Iterator[pykka.ActorRef]:
     environment = Environment(Settings(id="entry-1"), Metrics(), logging.getLogger())
     callbacks = CatalogueCallbacks(*(lambda *_: None for _ in range(5)))
     appender: Any = None
@@ -52,86 +52,85 @@
     actor.stop()
 
 
-def read(keeper: pykka.ActorRef, *edits: Edit) -> None:
+def read(actor: pykka.ActorRef, *edits: Edit) -> None:
     records = tuple(
         LogRecord(offset, item.to_json()) for offset, item in enumerate(edits)
     )
-    keeper.ask(CatalogueBatchRead(RecordBatch("catalogue", records, 0, len(edits))))
+    actor.ask(CatalogueBatchRead(RecordBatch("catalogue", records, 0, len(edits))))
 
 
-def read_part(keeper: pykka.ActorRef, item: Edit, end: int) -> None:
+def read_part(actor: pykka.ActorRef, item: Edit, end: int) -> None:
     records = (LogRecord(0, item.to_json()),)
-    keeper.ask(CatalogueBatchRead(RecordBatch("catalogue", records, 0, end)))
+    actor.ask(CatalogueBatchRead(RecordBatch("catalogue", records, 0, end)))
 
 
-def wait_for(keeper: pykka.ActorRef, item: Edit) -> "Future[EditOutcome]":
+def wait_for(actor: pykka.ActorRef, item: Edit) -> "Future[EditOutcome]":
     future: Future[EditOutcome] = Future()
-    keeper.ask(AwaitOutcome(item.edit_id, item.digest(), future))
+    actor.ask(AwaitOutcome(item.edit_id, item.digest(), future))
     return future
 
 
-class TestSettling:
-    """Which outcome goes to whom."""
+class TestAwaitOutcome:
+    """Each waiting edit gets its own outcome."""
 
-    def test_a_reused_edit_id_is_not_told_the_other_edits_outcome(
+    def test_a_reused_edit_id_does_not_get_the_other_edits_outcome(
         self,
-        keeper: pykka.ActorRef,
+        actor: pykka.ActorRef,
     ) -> None:
-        # An operator's script uses one edit id for two different edits. The second
-        # is told "accepted", because the first was, and never takes effect.
-        read(keeper, edit("counter"))
-        outcome = wait_for(keeper, edit("tutor-llm")).result(timeout=1)
+        # Guards against reporting the second edit as accepted, because the first
+        # one with its id was, although it never takes effect.
+        read(actor, edit("counter"))
+        outcome = wait_for(actor, edit("tutor-llm")).result(timeout=1)
         assert outcome.reason is RejectionReason.EDIT_ID_REUSED
-        assert wait_for(keeper, edit("counter")).result(timeout=1).accepted
+        assert wait_for(actor, edit("counter")).result(timeout=1).accepted
 
     def test_two_edits_with_one_id_that_wait_together(
         self,
-        keeper: pykka.ActorRef,
+        actor: pykka.ActorRef,
     ) -> None:
-        first = wait_for(keeper, edit("counter"))
-        second = wait_for(keeper, edit("tutor-llm"))
-        read(keeper, edit("counter"), edit("tutor-llm"))
+        first = wait_for(actor, edit("counter"))
+        second = wait_for(actor, edit("tutor-llm"))
+        read(actor, edit("counter"), edit("tutor-llm"))
         assert first.result(timeout=1).accepted
         reason = second.result(timeout=1).reason
         assert reason is RejectionReason.EDIT_ID_REUSED
 
-    def test_an_accepted_edit_is_in_force_here_when_its_sender_is_told(
+    def test_an_accepted_edit_is_visible_when_its_future_resolves(
         self,
-        keeper: pykka.ActorRef,
+        actor: pykka.ActorRef,
         views: Views,
     ) -> None:
-        # An operator sets an entry and reads it at the same VM at once: not found.
+        # Guards against an entry not being found right after it was set.
         seen: list[bool] = []
-        future = wait_for(keeper, edit("counter"))
+        future = wait_for(actor, edit("counter"))
         future.add_done_callback(
             lambda _: seen.append(
                 views.catalogue is not None
                 and "counter" in views.catalogue.pool_by_name
             )
         )
-        read(keeper, edit("counter"))
+        read(actor, edit("counter"))
         assert seen == [True]
 
 
 class TestStart:
-    """What is served while a VM reads up."""
+    """What is served while a starting VM reads the stream."""
 
-    def test_half_a_stream_is_not_served(
+    def test_a_partly_read_stream_is_not_served(
         self,
-        keeper: pykka.ActorRef,
+        actor: pykka.ActorRef,
         views: Views,
     ) -> None:
-        read_part(keeper, edit("counter"), end=2)
+        read_part(actor, edit("counter"), end=2)
         assert views.catalogue is None
 
-    def test_an_old_snapshot_is_not_served_before_what_follows_it(
+    def test_an_old_snapshot_is_not_served_before_the_records_after_it(
         self,
-        keeper: pykka.ActorRef,
+        actor: pykka.ActorRef,
         views: Views,
     ) -> None:
-        # The first records have expired. The kept snapshot is older than an accepted
-        # deletion; were the log to go down just then, the VM would serve the deleted
-        # entry for as long as the outage lasts.
+        # Guards against serving a deleted entry from a snapshot that is older than
+        # the deletion.
         deletion = Edit(
             edit_id="edit-0002",
             author="ines",
@@ -144,8 +143,8 @@
         values = [deletion.to_json(), *parts]
         records = tuple(LogRecord(1 + n, value) for n, value in enumerate(values))
         batch = RecordBatch("catalogue", records, 1, 1 + len(records))
-        keeper.ask(CatalogueBatchRead(batch))
+        actor.ask(CatalogueBatchRead(batch))
         assert views.catalogue is None
-        keeper.ask(CatalogueBatchRead(batch))
+        actor.ask(CatalogueBatchRead(batch))
         assert views.catalogue is not None
         assert not views.catalogue.pool_by_name
--- a/tests/test_catalogue_begin_anew.py
+++ b/tests/test_catalogue_begin_anew.py
@@ -1,4 +1,4 @@
-"""``bamboovale catalogue begin-anew``."""
+"""The command ``bamboovale catalogue begin-anew``."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -22,7 +22,7 @@
 
 
 class Site:
-    """A log that has kept nothing of two edits, and one entry VM."""
+    """A log whose two edits have expired, and one entry VM."""
 
     def __init__(self, log_url: str, admin_url: str, port: ListPort) -> None:
         self.port = port
@@ -49,31 +49,31 @@
 
 
 class TestBeginAnew:
-    """After all entry VMs were down for longer than the log keeps records."""
+    """Recovery after all entry VMs were down for longer than the log's retention."""
 
-    def test_edits_are_accepted_again_and_revisions_go_on(self, site: Site) -> None:
-        # Without a beginning no VM can fold the stream: edits are appended and never
-        # judged, and nothing is served, for good.
+    def test_edits_are_accepted_again_and_revisions_continue(self, site: Site) -> None:
+        # Guards against a stream that no VM can fold, because its first records
+        # have expired and it holds no snapshot.
         site.control.call("GET", "/streams/catalogue/records?from=0")
         site.control.set_faults(retention_records=None)
         done = site.begin_anew()
         assert done.exit_code == ExitStatus.SUCCESS, done.output
         batch = site.log.read("catalogue", 0, wait_s=0.0).unwrap()
-        whole = SnapshotAssembler(batch.first).add(batch.records[0].value)
-        assert whole is not None
+        snapshot = SnapshotAssembler(batch.first).add(batch.records[0].value)
+        assert snapshot is not None
         catalogue = Catalogue.empty()
-        assert catalogue.adopt(read_snapshot(whole))
+        assert catalogue.adopt(read_snapshot(snapshot))
         catalogue.apply(2, batch.records[0].value)
         outcome = catalogue.apply(3, edit("00000009", change(POOL, base=0)))
         assert outcome is not None and outcome.accepted and outcome.revision == 4
 
-    def test_not_while_a_vm_has_the_catalogue(self, site: Site) -> None:
+    def test_is_rejected_while_a_vm_has_the_catalogue(self, site: Site) -> None:
         site.port.submit(parse_edit(edit("00000001", change(POOL))).unwrap(), 1.0)
         done = site.begin_anew()
         assert done.exit_code == ExitStatus.REJECTED
         assert "at revision 1" in done.output
 
-    def test_not_while_records_are_kept(self, site: Site) -> None:
+    def test_is_rejected_while_records_are_retained(self, site: Site) -> None:
         site.control.set_faults(retention_records=None)
         site.log.append("catalogue", edit("00000002", change(POOL)))
         assert site.begin_anew().exit_code == ExitStatus.REJECTED
--- a/tests/test_catalogue_fold.py
+++ b/tests/test_catalogue_fold.py
@@ -1,4 +1,4 @@
-"""Entries, edits and the fold of the catalogue stream."""
+"""Parsing of entries and edits, and the fold of the catalogue stream."""
 
 from typing import Any
 
@@ -60,7 +60,7 @@
 
 
 class TestEntries:
-    """What operators write."""
+    """Parsing of entries."""
 
     def test_defaults(self) -> None:
         entry = parse_entry(ADAPTER).unwrap()
@@ -70,13 +70,13 @@
         assert entry.limits == Limits()
         assert parse_entry(entry.to_json()) == Ok(entry)
 
-    def test_overnight_work_may_wait_longer(self) -> None:
+    def test_overnight_requests_may_wait_longer(self) -> None:
         entry = parse_entry(ADAPTER | {"class": "overnight"}).unwrap()
         assert isinstance(entry, AdapterEntry)
         assert entry.work_class is WorkClass.OVERNIGHT
         assert entry.limits.max_wait_s == 3600
 
-    def test_every_finding_at_once_with_its_place(self) -> None:
+    def test_all_findings_are_returned_with_their_places(self) -> None:
         data = ADAPTER | {
             "version": 3,
             "pool": "a b",
@@ -112,21 +112,20 @@
             POOL | {"checks_fencing": 1},
         ],
     )
-    def test_refuses(self, data: Any) -> None:
+    def test_rejects_invalid_entries(self, data: Any) -> None:
         assert isinstance(parse_entry(data), Err)
 
 
 class TestRevisions:
     """Accepted edits, conflicts, and repeated edit ids."""
 
-    def test_accepts_and_counts_revisions_by_offset(self) -> None:
+    def test_the_revision_is_the_offset_plus_one(self) -> None:
         catalogue = fold(edit("00000001", change(POOL), change(ADAPTER)), "noise")
         assert (catalogue.revision, catalogue.next_offset) == (1, 2)
         assert catalogue.adapter_by_name["summaries"].revision == 1
 
     def test_the_second_of_two_racing_edits_is_a_conflict(self) -> None:
-        # Two operators read revision 1 and both send a new version. Without the
-        # base revision the first would be told "accepted" and silently lose.
+        # Guards against a lost update: both edits are based on revision 1.
         catalogue = fold(edit("00000001", change(POOL), change(ADAPTER)))
         first = catalogue.apply(
             1, edit("00000002", change(ADAPTER | {"version": "2"}, base=1))
@@ -139,7 +138,7 @@
         assert second.conflicts[0].current_revision == 2
         assert catalogue.adapter_by_name["summaries"].version == "2"
 
-    def test_all_or_nothing(self) -> None:
+    def test_an_edit_is_atomic(self) -> None:
         catalogue = fold(edit("00000001", change(POOL), change(ADAPTER)))
         other = ADAPTER | {"name": "other"}
         outcome = catalogue.apply(
@@ -149,8 +148,8 @@
         assert "other" not in catalogue.adapter_by_name
 
     def test_a_repeated_edit_returns_the_first_outcome(self) -> None:
-        # The answer to an append is lost, so the edit is appended again; meanwhile
-        # another operator deleted the entry. The copy must not bring it back.
+        # Guards against a retried append that restores an entry which another
+        # operator has deleted since.
         first = edit("00000001", change(POOL), change(ADAPTER))
         catalogue = fold(first, edit("00000002", deletion("adapter", "summaries")))
         outcome = catalogue.apply(2, first)
@@ -158,7 +157,7 @@
         assert "summaries" not in catalogue.adapter_by_name
         assert catalogue.revision == 2
 
-    def test_an_edit_id_used_for_something_else_is_refused(self) -> None:
+    def test_a_reused_edit_id_is_rejected(self) -> None:
         catalogue = fold(edit("00000001", change(POOL)))
         outcome = catalogue.apply(1, edit("00000001", deletion("pool", "tutor-llm")))
         assert outcome is not None
@@ -173,7 +172,7 @@
         assert outcome is not None and outcome.accepted
         assert key not in catalogue.view().tombstone_by_key
 
-    def test_history_tells_who_changed_what(self) -> None:
+    def test_history_records_author_and_changes(self) -> None:
         catalogue = fold(edit("00000001", change(POOL), author="ines"))
         wider = POOL | {"load_seconds": 9}
         catalogue.apply(1, edit("00000002", change(wider), author="tom"))
@@ -184,7 +183,7 @@
             "tutor-llm", "base-8b", load_seconds=9
         )
 
-    def test_a_gap_is_found_and_changes_nothing(self) -> None:
+    def test_a_gap_raises_and_changes_nothing(self) -> None:
         catalogue = fold(edit("00000001", change(POOL)))
         with pytest.raises(CatalogueGapError):
             catalogue.apply(3, edit("00000002", deletion("pool", "tutor-llm")))
@@ -207,8 +206,7 @@
         assert "tutor-llm" not in catalogue.view().pool_by_name
 
     def test_an_older_state_is_not_adopted(self) -> None:
-        # A peer that lags offers its state. Taking it would bring back an entry
-        # whose deletion was accepted.
+        # Guards against a lagging peer's state that restores a deleted entry.
         behind = fold(edit("00000001", change(POOL)))
         catalogue = fold(
             edit("00000001", change(POOL)),
@@ -221,7 +219,7 @@
 
 
 class TestRules:
-    """Cross-checks at edit time."""
+    """Validation of edits against the current entries."""
 
     @pytest.mark.parametrize(
         ("changes", "place"),
@@ -243,7 +241,7 @@
             ),
         ],
     )
-    def test_refuses(self, changes: list, place: str) -> None:
+    def test_rejects_invalid_changes(self, changes: list, place: str) -> None:
         catalogue = fold(edit("00000001", change(POOL), change(ADAPTER)))
         outcome = catalogue.apply(1, edit("00000002", *changes))
         assert outcome is not None
@@ -251,9 +249,9 @@
         assert outcome.findings[0].place == place
         assert catalogue.revision == 1
 
-    def test_a_version_does_not_come_back_with_other_weights(self) -> None:
-        # An engine that still holds summaries@1 would answer with the old weights
-        # in the name of the new ones.
+    def test_a_version_cannot_return_with_other_weights(self) -> None:
+        # Guards against an engine that still holds the old weights of summaries@1
+        # and serves them as the new ones.
         catalogue = fold(
             edit("00000001", change(POOL), change(ADAPTER)),
             edit("00000002", deletion("adapter", "summaries")),
@@ -262,7 +260,7 @@
         assert outcome is not None
         assert outcome.reason is RejectionReason.INVALID
 
-    def test_a_pool_and_its_adapters_move_together(self) -> None:
+    def test_a_pool_and_its_adapters_change_base_model_in_one_edit(self) -> None:
         catalogue = fold(edit("00000001", change(POOL), change(ADAPTER)))
         outcome = catalogue.apply(
             1,
--- a/tests/test_catalogue_machine.py
+++ b/tests/test_catalogue_machine.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of the catalogue: one log, several readers, a simple oracle."""
+"""Stateful test of the catalogue: one log, several readers, a reference model."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -29,12 +29,12 @@
 
 @dataclass
 class Oracle:
-    """The log judged by the plainest possible code, from its first record on."""
+    """Reference model: evaluates the log from its first record on."""
 
     entry_by_name: dict[str, tuple[int, float]] = field(default_factory=dict)
     outcome_by_edit_id: dict[str, tuple[bool, int]] = field(default_factory=dict)
     revision: int = 0
-    # The state before each offset.
+    # The expected state before each offset.
     states: list[Any] = field(default_factory=lambda: [(0, {})])
 
     def append(self, offset: int, value: dict[str, Any]) -> None:
@@ -68,7 +68,7 @@
 
 
 class CatalogueMachine(RuleBasedStateMachine):
-    """Racing edits, lost answers, snapshots, expiry, restarts and peers' states."""
+    """Racing edits, lost responses, snapshots, expiry, restarts, peers' states."""
 
     @initialize()
     def start(self) -> None:
@@ -134,7 +134,7 @@
         self.append(value)
 
     @rule(back=st.integers(1, 4), reader=readers)
-    def repeat_an_edit_whose_answer_was_lost(self, back: int, reader: int) -> None:
+    def retry_an_edit_whose_response_was_lost(self, back: int, reader: int) -> None:
         if self.edits:
             value = self.edits[-min(back, len(self.edits))]
             self.append(value | {"made_at": value["made_at"] + 1})
@@ -164,9 +164,9 @@
     def recover(self, reader: int) -> None:
         assembler = SnapshotAssembler(self.first)
         for value in self.log[self.first :]:
-            whole = assembler.add(value)
-            if whole is not None:
-                assert self.readers[reader].adopt(read_snapshot(whole))
+            snapshot = assembler.add(value)
+            if snapshot is not None:
+                assert self.readers[reader].adopt(read_snapshot(snapshot))
                 return
 
     @rule(reader=readers, parts=st.integers(1, 99))
@@ -194,7 +194,7 @@
         self.replace_a_vm(other)
 
     @rule(reader=readers, peer=readers)
-    def take_a_peers_state(self, reader: int, peer: int) -> None:
+    def adopt_a_peers_state(self, reader: int, peer: int) -> None:
         self.readers[reader].adopt(read_snapshot(write_snapshot(self.readers[peer])))
 
     @invariant()
