--- a/bamboovale/leases/__init__.py
+++ b/bamboovale/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases on endpoints, folded from the log."""
+"""Leases on engines, folded from a stream of the log."""
--- a/bamboovale/leases/fold.py
+++ b/bamboovale/leases/fold.py
@@ -1,13 +1,12 @@
 """Leases on engines as a deterministic fold of the lease stream.
 
-The records of an engine form one chain that every reader folds alike. A record
-counts only if its writer knew the end of the chain: a renewal must come from the
-holder under its fencing number, a take must name the last record for that engine.
-A fencing number is the offset of the take or release that made the holder, so it
-is unique and only rises.
-
-A node here is one incarnation of an entry VM: a VM that starts anew under the same
-id must not take its forerunner's leases for its own.
+The records of an engine form a chain, and a record is valid only if its writer knew
+the end of that chain: a renewal must come from the holder with its fencing number, a
+take must name the last valid record of the engine. A fencing number is the offset of
+the take or release that made the holder, so it is unique and only increases.
+
+A node is one incarnation of an entry VM: a VM that restarts under the same id does
+not own the leases of its previous incarnation.
 """
 
 from collections.abc import Mapping
@@ -27,10 +26,9 @@
     parse_record,
 )
 
-# Offset that stands for "no record for this engine yet".
+# The engine has no record yet.
 NO_OFFSET = -1
-# Engines come and go under new ids. Beyond this many, the one whose last record is
-# oldest is forgotten; at 600 engines that is one that nobody renews any more.
+# Beyond this number the engine with the oldest last record is dropped.
 MAX_ENGINES = 4096
 
 
@@ -45,13 +43,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """Who holds an engine, as far as the stream was read.
+    """The holder of an engine, as far as the stream was read.
 
-    ``holder`` is None after a release that names nobody. ``last_offset`` is that of
-    the last record that counted, and ``read_at`` the reader's monotonic time when it
-    read that record: what the reader's own wait counts from, different on each.
-    ``term_s`` is the longest term that the holder's records have named: an earlier
-    renewal with a longer term may hold longer than the last one.
+    ``holder`` is None after a release without a next node. ``last_offset`` is the
+    offset of the last valid record, and ``read_at`` the reader's monotonic time when
+    it read that record, from which it counts the time until it may take the lease.
+    ``term_s`` is the longest term of the holder's records: an earlier renewal with a
+    longer term may expire after the last one.
     """
 
     engine: str
@@ -63,7 +61,7 @@
 
 
 class VoidReason(StrEnum):
-    """Why a record did not count."""
+    """Why a record was void."""
 
     OVERTAKEN = "overtaken"
     NOT_HOLDER = "not_holder"
@@ -72,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Renewed:
-    """A renewal counted for ``engines``; those in ``refused`` are not held."""
+    """A renewal extended ``engines``; its node does not hold those in ``refused``."""
 
     offset: int
     record_id: str
@@ -83,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Moved:
-    """An engine has another holder, by a take or by a release."""
+    """An engine has a new holder, by a take or by a release."""
 
     offset: int
     record_id: str
@@ -117,21 +115,21 @@
 
 
 class LeaseTable:
-    """The lease of each engine; owned by the one task that reads the stream."""
+    """The lease of each engine; owned by the actor that reads the stream."""
 
     def __init__(self) -> None:
         self.next_offset = 0
         self.void_records = 0
-        # Offset of the last renewal, take or release, whether it counted or not.
+        # Offset of the last renewal, take or release, void or not.
         self.last_record_offset = NO_OFFSET
         self._lease_by_engine: dict[str, Lease] = {}
 
     @classmethod
     def empty(cls, next_offset: int = 0) -> "LeaseTable":
-        """Return a table without leases, to be read on from ``next_offset``.
+        """Return a table without leases whose next record is at ``next_offset``.
 
-        Other than at offset 0 this is right only for a stream that holds no record
-        at all: every lease that was on it has lapsed long ago.
+        An offset other than 0 is correct only for a stream without records, on which
+        every lease has expired.
         """
         table = cls()
         table.next_offset = next_offset
@@ -143,14 +141,14 @@
         return MappingProxyType(self._lease_by_engine)
 
     def last_offset(self, engine: str) -> int:
-        """Return what a take of this engine must name as ``after``."""
+        """Return the offset that a take of this engine must name as ``after``."""
         lease = self._lease_by_engine.get(engine)
         return NO_OFFSET if lease is None else lease.last_offset
 
     def apply(self, offset: int, value: Any, read_at: float) -> LeaseOutcome | None:
-        """Fold one record that was read at ``read_at`` (monotonic seconds).
+        """Apply one record that was read at ``read_at`` (monotonic seconds).
 
-        A record read again changes nothing, a snapshot neither. Raises
+        Records that were applied before and snapshots change nothing. Raises
         :class:`LeaseGapError` if records are missing before this one.
         """
         if offset < self.next_offset:
@@ -173,7 +171,7 @@
         return outcome
 
     def snapshot(self, record_id: str) -> dict[str, Any]:
-        """Return the table as a value for the log or for a peer."""
+        """Return the table as a value for the log."""
         return {
             "type": "snapshot",
             "id": record_id,
@@ -198,11 +196,11 @@
         read_at: float,
         first: int = 0,
     ) -> "LeaseTable | None":
-        """Return the table a snapshot holds; None if the value is no snapshot.
+        """Return the table of a snapshot; None if the value is not a snapshot.
 
-        None also if it was taken before ``first``, the oldest kept offset: the
-        records between are gone. The reader reads on from ``next_offset``. Every
-        lease counts as read now, which can only make the reader wait longer.
+        Also None if it was taken before ``first``, the oldest retained offset: the
+        records between them are gone. The reader continues at ``next_offset``. Each
+        lease is treated as read now, which can only make the reader wait longer.
         """
         record = parse_record(value)
         if not isinstance(record, TableSnapshot) or record.at < first:
@@ -250,9 +248,9 @@
         )
 
     def _apply_take(self, offset: int, record: Take, read_at: float) -> Moved | Void:
-        # A taker that reads late, or was paused between its decision and its append,
-        # would take an engine whose holder has renewed since and still works: two
-        # holders. Any record that counted after the one it names voids the take.
+        # Guards against two holders: a taker that read late or was paused before its
+        # append would take an engine whose holder has renewed. Any valid record after
+        # the one that the take names makes it void.
         if self.last_offset(record.engine) != record.after:
             return self._void(offset, record, VoidReason.OVERTAKEN)
         return self._move(offset, record, record.node, read_at)
@@ -268,8 +266,8 @@
         return self._move(offset, record, record.next_node, read_at)
 
     def _apply_reset(self, offset: int, record: Reset) -> Cleared | Void:
-        # Its writer waited until every lease it could not see had lapsed. A record
-        # that it had not read when it wrote may have extended one: the reset is void.
+        # The writer waited until every lease unknown to it had expired. A record that
+        # it had not read may have extended one, so the reset is void.
         if self.last_record_offset > record.after:
             self.void_records += 1
             return Void(offset, record.record_id, "", record.node, VoidReason.OVERTAKEN)
@@ -290,8 +288,8 @@
             fencing=offset,
             last_offset=offset,
             read_at=read_at,
-            # After a release the next node holds nothing before its own renewal, which
-            # a take would void: no term is waited for the node's sake.
+            # After a release the lease of the next node is valid only from its own
+            # renewal, which a take before it voids, so the term need not be awaited.
             term_s=record.term_s if isinstance(record, Take) else DEFAULT_TERM_S,
         )
         if len(self._lease_by_engine) > MAX_ENGINES:
--- a/bamboovale/leases/hand_over.py
+++ b/bamboovale/leases/hand_over.py
@@ -1,19 +1,22 @@
-"""Which lease moves to the VM that ranks first for it, and hand-overs that failed."""
+"""Hand-over of leases to the VMs that rank first for them."""
 
 from collections.abc import Callable, Mapping, Sequence
 
 from bamboovale.leases.own_leases import HeldLease
 
-SETTLED_S = 3.0
-"""A preferred holder must have been preferred for this long before a hand-over:
-a VM that comes and goes does not move leases."""
+STABLE_PREFERENCE_S = 3.0
+"""How long a VM must rank first before a hand-over, so that a VM that repeatedly joins
+and leaves does not move leases."""
 
-HAND_OVER_EVERY_S = 0.5
-"""Hand-overs one by one: each costs its engine a moment without loads."""
+HAND_OVER_INTERVAL_S = 0.5
+"""Spaces out hand-overs: each interrupts the adapter loads of its engine."""
 
 
 class HandOvers:
-    """Pure state of the hand-overs of one VM; times on the monotonic clock."""
+    """Chooses the leases that one VM hands over; times on the monotonic clock.
+
+    Also remembers releases with an unknown outcome.
+    """
 
     def __init__(self, own_vm: str) -> None:
         self._own_vm = own_vm
@@ -28,7 +31,7 @@
         incarnation_by_vm: Mapping[str, str],
         now: float,
     ) -> tuple[str, str] | None:
-        """Return an engine to hand over and its next VM, None if there is none now."""
+        """Return an engine to hand over now and its next VM, None if there is none."""
         if now < self._next_at:
             return None
         for engine in held:
@@ -40,21 +43,21 @@
                 continue
             if preferred == self._own_vm or preferred not in incarnation_by_vm:
                 continue
-            if now - since >= SETTLED_S:
-                self._next_at = now + HAND_OVER_EVERY_S
+            if now - since >= STABLE_PREFERENCE_S:
+                self._next_at = now + HAND_OVER_INTERVAL_S
                 return engine, preferred
         return None
 
     def on_unknown(self, held: HeldLease) -> None:
-        """Note a release that had no answer: it may be on the log."""
+        """Remember a release without a response: it may be on the log."""
         self._unknown_by_engine[held.engine] = held
 
     def on_log_read(self) -> None:
-        """Forget what had no answer: its outcome is read from the log now."""
+        """Forget unknown releases: their outcomes are read from the log."""
         self._unknown_by_engine.clear()
 
     def take_unknown(self) -> list[HeldLease]:
-        """Return and forget the leases whose release had no answer."""
-        lost = list(self._unknown_by_engine.values())
+        """Return and forget the leases whose release had no response."""
+        unknown = list(self._unknown_by_engine.values())
         self._unknown_by_engine.clear()
-        return lost
+        return unknown
