--- a/bamboovale/leases/messages.py
+++ b/bamboovale/leases/messages.py
@@ -1,4 +1,4 @@
-"""Messages to the keeper of the leases, and names on the lease stream."""
+"""Messages to the lease actor, and names on the lease stream."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -8,12 +8,12 @@
 
 LEASE_STREAM = "leases"
 WEIGHT_STORE = "@weight-store"
-"""The lease of the load scheduler, beside those named after runners."""
+"""Name of the load scheduler's lease; the others are named after runners."""
 
 
 @dataclass(frozen=True)
 class LeaseBatchRead:
-    """Records of the lease stream, with the moment of reading."""
+    """Records of the lease stream and when they were read (monotonic seconds)."""
 
     batch: RecordBatch
     read_at: float
@@ -21,17 +21,17 @@
 
 @dataclass(frozen=True)
 class HandOverAll:
-    """A planned stop: release every lease to the next in rank."""
+    """Planned stop: release every lease to the VM next in rank."""
 
 
 @dataclass(frozen=True)
 class RenewalEnded:
-    """An append of a renewal ended, one way or the other."""
+    """An append of a renewal ended, successfully or not."""
 
 
 @dataclass(frozen=True)
 class ReleaseFailed:
-    """A release of ours had no answer, or (``refused``) surely is not on the log."""
+    """An own release failed; if ``refused``, it is certainly not on the log."""
 
     held: HeldLease
     refused: bool
@@ -54,10 +54,10 @@
 
 @dataclass(frozen=True)
 class LeaseCallbacks:
-    """What the keeper tells the rest of the VM, from its own thread.
+    """Callbacks of the lease actor, called on its thread.
 
-    ``on_held(engine, fencing, valid)``: ``valid`` may be asked from any thread.
-    ``on_valid(engine)``: the lease came into force, after a hand-over or a lapse.
+    ``on_held(engine, fencing, valid)``: ``valid`` may be called from any thread.
+    ``on_valid(engine)``: the lease became valid, after a hand-over or an expiry.
     """
 
     on_held: Callable[[str, int, Callable[[], bool]], None]
--- a/bamboovale/leases/records.py
+++ b/bamboovale/leases/records.py
@@ -1,4 +1,4 @@
-"""Records of the lease stream: typed in the program, JSON maps on the log."""
+"""Records of the lease stream and their JSON form on the log."""
 
 import math
 from dataclasses import dataclass, field
@@ -6,16 +6,14 @@
 
 from result import Err, Ok, Result
 
-# A killed holder's engine should be served again within 5 s: 3 s of term, the margin,
-# one step of stagger, an append and the new holder's questions fit in that.
 DEFAULT_TERM_S = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class Renewal:
-    """Extends all leases of one node; one record for all its engines.
+    """Extends all leases of one node.
 
-    ``term_s`` is for how long the node holds them: what a taker waits for.
+    ``term_s`` is how long the node holds them, and how long a taker waits.
     """
 
     record_id: str
@@ -36,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Take:
-    """Makes the node holder if nothing counted for the engine since ``after``."""
+    """Makes the node the holder if the engine has no valid record since ``after``."""
 
     record_id: str
     node: str
@@ -58,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """Hands an engine over to ``next_node``, or to whoever takes it if None."""
+    """Hands an engine over to ``next_node``; if None, any node may take it."""
 
     record_id: str
     node: str
@@ -80,10 +78,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Reset:
-    """Ends every lease if no renewal, take or release lies after ``after``.
+    """Ends every lease if no renewal, take or release follows offset ``after``.
 
-    Written by a reader that found no beginning of the stream and has read, for as
-    long as a taker waits, nothing that could extend a lease.
+    Written by a reader that found no state to start from and has read no record that
+    could extend a lease for as long as a taker waits.
     """
 
     record_id: str
@@ -102,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TableSnapshot:
-    """The whole table before offset ``at``, for readers that start after a gap.
+    """The lease table before offset ``at``, for readers that start after a gap.
 
     ``last`` is the offset of the last renewal, take or release before it.
     """
@@ -118,7 +116,7 @@
 
 
 def parse_record(value: Any) -> Record | None:
-    """Return the record a value of the stream holds, None if it is none."""
+    """Parse a value of the stream; return None if it is not a valid record."""
     if not isinstance(value, dict):
         return None
     parse = _PARSER_BY_TYPE.get(value.get("type"))
--- a/bamboovale/leases/recovery.py
+++ b/bamboovale/leases/recovery.py
@@ -1,9 +1,8 @@
-"""How a reader that starts behind expired records finds a state to read on from.
+"""Recovery of the lease table by a reader whose first records have expired.
 
-It takes a snapshot of the table, if one lies on the stream. If none does (every VM
-was down for a while, and the last snapshot expired), no reader knows the chains, and
-without more nobody could ever take an engine again. The reader then waits until no
-lease can be valid and appends a reset, which all readers fold alike.
+It uses a snapshot of the table if the stream holds one. If not (every VM was down
+until the last snapshot expired), no reader could ever take an engine again. The
+reader then waits until no lease can be valid and appends a reset.
 """
 
 from typing import Any
@@ -19,7 +18,7 @@
 
 
 class LeaseRecovery:
-    """Reads on from the oldest kept offset until there is a state."""
+    """Reads from the oldest retained offset until it finds a lease table."""
 
     _first: int
     _next_offset: int
@@ -27,17 +26,17 @@
     _quiet_since: float
 
     def __init__(self, first: int, now: float) -> None:
-        self._begin(first, now)
+        self._restart(first, now)
 
     def add(self, offset: int, value: Any, read_at: float) -> LeaseTable | None:
-        """Take a record; return a table to read on from once there is one.
+        """Add a record; return a table to continue from once there is one.
 
-        Its ``next_offset`` may lie before records that were read already.
+        Its ``next_offset`` may be before records that were already read.
         """
         if offset < self._next_offset:
             return None
         if offset > self._next_offset:
-            self._begin(offset, read_at)
+            self._restart(offset, read_at)
         self._next_offset = offset + 1
         record = parse_record(value)
         if isinstance(record, TableSnapshot):
@@ -54,24 +53,24 @@
         return Reset(record_id, node, after=self._next_offset - 1)
 
     def reset_allowed_at(self, terms: LeaseTerms, rank: int) -> float:
-        """Return from when a reset may be appended; rank 0 is first in turn.
+        """Return the time from which a reset may be appended; rank 0 is first.
 
-        Records that are not known here may have named any term.
+        Unread records may have any term up to the longest.
         """
         wait_s = terms.wait_s(terms.longest_term_s)
         return self._quiet_since + wait_s + rank * terms.rank_step_s
 
-    def _begin(self, first: int, now: float) -> None:
-        # Whatever lay before ``first`` is on the log no more, so it was appended
-        # before now: a lease that it extended lapses within a term from now.
+    def _restart(self, first: int, now: float) -> None:
+        # Records before ``first`` have expired, so they were appended before now: a
+        # lease that they extended expires within a term from now.
         self._first = first
         self._next_offset = first
         self._last_record_offset = first - 1
         self._quiet_since = now
 
     def _after_reset(self, offset: int, reset: Reset) -> LeaseTable | None:
-        # What lay before the first record read counts as a lease record: a reset that
-        # was written without having read it is not judged here.
+        # The record before the first one read is treated as a lease record: a reset
+        # whose writer had not read it is ignored.
         if self._last_record_offset > reset.after:
             return None
         table = LeaseTable.empty(offset + 1)
