--- a/bamboovale/leases/actor.py
+++ b/bamboovale/leases/actor.py
@@ -1,4 +1,4 @@
-"""Renews, takes and hands over leases: the task that owns the lease table."""
+"""The actor that owns the lease table: renews, takes and hands over leases."""
 
 import itertools
 import logging
@@ -38,19 +38,18 @@
 from bamboovale.log_service.log_client import LogFailure, LogRecord, RecordBatch
 from bamboovale.views import KnownLease, Views
 
-TAKE_AGAIN_S = 2.0
-"""A take whose outcome was not read back by then is repeated."""
+TAKE_RETRY_S = 2.0
+"""A take or reset is retried if it was not read back within this time."""
 
-MAX_RENEWALS_UNDER_WAY = 2
-"""While the log hangs, further renewals would only queue up behind each other and be
-too old to count when it is back."""
+MAX_RENEWALS_IN_FLIGHT = 2
+"""While the log hangs, more renewals would only queue and be expired when sent."""
 
-SNAPSHOT_EVERY_S = 30.0
-"""A VM that starts behind expired records waits at most this long for a snapshot."""
+SNAPSHOT_INTERVAL_S = 30.0
+"""Bounds how long a VM that starts after expired records waits for a snapshot."""
 
 MAX_START_BACKLOG = 5000
-"""How far before the stream's end a VM begins to read. It holds a snapshot even at
-100 renewals a second; reading an hour of renewals would delay each start."""
+"""How many records before the end of the stream a starting VM begins to read: enough
+to contain a snapshot, few enough for a quick start."""
 
 logger = logging.getLogger(__name__)
 
@@ -81,8 +80,8 @@
         )
         self._node = node_name(settings.id, environment.incarnation)
         self._table: LeaseTable | None = None
-        # Set while the stream was read from behind expired records and no state to
-        # read on from was found; the records read meanwhile are kept.
+        # Set while records have expired unread and no snapshot or reset was found;
+        # records read meanwhile are buffered in ``_unfolded``.
         self._recovery: LeaseRecovery | None = None
         self._unfolded: list[LogRecord] = []
         self._reset_sent_at = 0.0
@@ -93,7 +92,7 @@
         self._take_sent_at: dict[str, float] = {}
         self._hand_overs = HandOvers(settings.id)
         self._next_renewal_at = 0.0
-        self._renewals_under_way = 0
+        self._renewals_in_flight = 0
         self._next_snapshot_at = 0.0
         self._handing_over = False
         self.handle(LeaseBatchRead, self._on_batch)
@@ -103,22 +102,22 @@
         self.handle(ReleaseFailed, self._on_release_failed)
         self.handle(DumpLeases, self._on_dump)
 
-    # Reading.
+    # Reading the stream.
 
     def _on_batch(self, message: LeaseBatchRead) -> None:
         batch = message.batch
         self._hand_overs.on_log_read()
         if self._table is None:
-            self._begin(batch, message.read_at)
+            self._initialize_table(batch, message.read_at)
         else:
             self._fold(batch.records, message.read_at)
         self._publish()
 
-    def _begin(self, batch: RecordBatch, read_at: float) -> None:
-        """Find a beginning: the stream's own, a snapshot or a reset.
+    def _initialize_table(self, batch: RecordBatch, read_at: float) -> None:
+        """Start the table from the stream's first record, a snapshot or a reset.
 
-        Without the records that made the present holders, this VM would take leases
-        that are held, by a fold that differs from everybody else's.
+        Guards against a table that lacks records of the current holders: this VM
+        would take leases that are held.
         """
         first = batch.records[0].offset if batch.records else batch.end
         if self._recovery is None and (first == 0 or not batch.records):
@@ -135,7 +134,7 @@
                 return
 
     def _end_recovery(self, table: LeaseTable, read_at: float) -> None:
-        logger.info("lease stream: reading on from offset %d", table.next_offset)
+        logger.info("lease stream: continuing at offset %d", table.next_offset)
         self._table = table
         self._recovery = None
         records, self._unfolded = self._unfolded, []
@@ -143,13 +142,13 @@
         self._fold(tuple(item for item in records if item.offset >= first), read_at)
 
     def _reset_if_due(self, now: float) -> None:
-        """Begin the chains anew if nobody knows them and no lease can be valid."""
+        """Append a reset if no VM has a lease table and no lease can be valid."""
         recovery = self._recovery
         rank = self._rank(WEIGHT_STORE, None)
         if recovery is None or rank is None or not self._health.reachable:
             return
         due = recovery.reset_allowed_at(self._terms, rank)
-        if now < max(due, self._reset_sent_at + TAKE_AGAIN_S):
+        if now < max(due, self._reset_sent_at + TAKE_RETRY_S):
             return
         self._reset_sent_at = now
         reset = recovery.reset(self._record_id(), self._node)
@@ -163,10 +162,10 @@
         for record in records:
             outcome = self._table.apply(record.offset, record.value, read_at)
             if isinstance(outcome, Cleared):
-                self._give_up_all()
+                self._drop_all()
             valid_before = self._valid_engines()
             self._own.apply(outcome)
-            self._tell(outcome)
+            self._report(outcome)
             for engine in self._valid_engines() - valid_before:
                 self._callbacks.on_valid(engine)
 
@@ -179,19 +178,19 @@
         }
 
     def _restart_fold(self, records: tuple[LogRecord, ...], read_at: float) -> None:
-        """Begin anew after a gap; leases held till now are given up first."""
-        logger.warning("lease stream: records expired before they were read")
-        self._give_up_all()
+        """Rebuild the table after a gap; drop the held leases first."""
+        logger.warning("lease stream: records expired before this VM read them")
+        self._drop_all()
         self._table = None
         batch = RecordBatch(LEASE_STREAM, records, records[0].offset, 0)
-        self._begin(batch, read_at)
+        self._initialize_table(batch, read_at)
 
-    def _give_up_all(self) -> None:
+    def _drop_all(self) -> None:
         for engine in list(self._own.held_by_engine):
             self._own.drop(engine)
             self._callbacks.on_lost(engine)
 
-    def _tell(self, outcome: LeaseOutcome | None) -> None:
+    def _report(self, outcome: LeaseOutcome | None) -> None:
         metrics = self._environment.metrics
         if isinstance(outcome, Renewed) and outcome.node == self._node:
             metrics.leases_renewed.inc()
@@ -218,7 +217,7 @@
 
         self._callbacks.on_held(engine, fencing, valid)
         if not valid():
-            # A hand-over is valid only once renewed; the engine waits for it.
+            # After a hand-over the lease is valid only from its first renewal.
             self._renew(self._fleet_terms(), self._environment.now())
 
     def _publish(self) -> None:
@@ -236,7 +235,7 @@
         self._views.lease_by_engine = known
         self._environment.metrics.leases_held.set(len(self._own.held_by_engine))
 
-    # Writing.
+    # Writing to the stream.
 
     def _on_tick(self, _: Tick) -> None:
         now = self._environment.now()
@@ -244,7 +243,7 @@
             self._reset_if_due(now)
             return
         self._yield_to_later_holders()
-        self._take_back_lost_releases()
+        self._restore_unknown_releases()
         self._publish()
         if now >= self._next_renewal_at and self._own.held_by_engine:
             terms = self._fleet_terms()
@@ -252,20 +251,19 @@
             self._renew(terms, now)
         if self._handing_over or not self._views.serving:
             return
-        for engine in self._wanted():
+        for engine in self._engines():
             self._take_if_due(engine, now)
         if self._health.reachable:
             self._hand_over_one(now)
         if WEIGHT_STORE in self._own.held_by_engine and now >= self._next_snapshot_at:
-            self._next_snapshot_at = now + SNAPSHOT_EVERY_S
+            self._next_snapshot_at = now + SNAPSHOT_INTERVAL_S
             self._appender.append(self._table.snapshot(self._record_id()))
 
     def _yield_to_later_holders(self) -> None:
-        """Let go of engines for which a peer tells a later fencing number.
+        """Drop leases for which a peer's hint has a higher fencing number.
 
-        A VM cut off from the log does not read that its lease was taken. Its peers'
-        hints show it; without them it would go on granting places beside the new
-        holder.
+        Guards against a VM that cannot reach the log, does not read that its lease
+        was taken, and grants places beside the new holder.
         """
         for engine, held in self._own.held_by_engine.items():
             received = self._views.hint_by_engine.get(engine)
@@ -274,7 +272,7 @@
                 self._own.drop(engine)
                 self._callbacks.on_lost(engine)
 
-    def _wanted(self) -> list[str]:
+    def _engines(self) -> list[str]:
         runners = self._views.membership.runners()
         return [WEIGHT_STORE, *(runner.id for runner in runners)]
 
@@ -283,9 +281,9 @@
         return self._terms.for_fleet(len(listed))
 
     def _renew(self, terms: LeaseTerms, now: float) -> None:
-        if self._renewals_under_way >= MAX_RENEWALS_UNDER_WAY:
+        if self._renewals_in_flight >= MAX_RENEWALS_IN_FLIGHT:
             return
-        self._renewals_under_way += 1
+        self._renewals_in_flight += 1
         record = self._own.renewal(self._record_id(), terms.term_s)
         self._own.note_sent(record, now)
         self._appender.append(
@@ -294,7 +292,7 @@
         )
 
     def _on_renewal_ended(self, _: RenewalEnded) -> None:
-        self._renewals_under_way -= 1
+        self._renewals_in_flight -= 1
 
     def _take_if_due(self, engine: str, now: float) -> None:
         assert self._table is not None
@@ -307,11 +305,11 @@
             return
         due = self._terms.take_allowed_at(lease, rank, first_seen)
         if lease is not None and lease.holder is not None:
-            # After an outage the holder's renewal and this take would race: the
-            # holder, whose engine is warm, gets a term to renew first.
+            # After an outage of the log the holder, whose engine is warm, gets a term
+            # to renew before this take.
             wait_s = self._terms.wait_s(lease.term_s)
             due = max(due, self._health.recovered_at + wait_s)
-        if now < due or now < self._take_sent_at.get(engine, 0.0) + TAKE_AGAIN_S:
+        if now < due or now < self._take_sent_at.get(engine, 0.0) + TAKE_RETRY_S:
             return
         self._take_sent_at[engine] = now
         record = Take(
@@ -335,16 +333,16 @@
         }
         return self._assignment.turns(engine, domain_by_engine, domain_by_vm)
 
-    def _rank(self, engine: str, lapsed_holder: str | None) -> int | None:
-        """Return this VM's turn among the takers, None if it is not usable."""
+    def _rank(self, engine: str, expired_holder: str | None) -> int | None:
+        """Return this VM's rank among the takers, None if it is not usable."""
         own_id = self._environment.settings.id
-        others = [vm for vm in self._ranking(engine) if vm != lapsed_holder]
+        others = [vm for vm in self._ranking(engine) if vm != expired_holder]
         if own_id in others:
             return others.index(own_id)
-        return len(others) if own_id == lapsed_holder else None
+        return len(others) if own_id == expired_holder else None
 
     def _hand_over_one(self, now: float) -> None:
-        """Move one lease to the VM that ranks first for it."""
+        """Hand over at most one lease to the VM that ranks first for it."""
         incarnation_by_vm = self._views.incarnation_by_vm
         move = self._hand_overs.next(
             self._own.held_by_engine,
@@ -369,7 +367,7 @@
             self._release(engine, successor)
 
     def _release(self, engine: str, successor: str | None) -> None:
-        """Stop acting as holder first, then say so on the log."""
+        """Stop acting as holder, then append the release."""
         held = self._own.held_by_engine[engine]
         self._own.drop(engine)
         self._callbacks.on_lost(engine)
@@ -390,40 +388,39 @@
         held: HeldLease,
         ended: Result[int, LogFailure],
     ) -> None:
-        """Say from the appending thread that a release may not have reached the log."""
+        """Report from the appending thread that a release may not be on the log."""
         if isinstance(ended, Err):
             refused = not ended.err_value.may_have_taken_effect
             tell(self.actor_ref, ReleaseFailed(held, refused))
 
     def _on_release_failed(self, message: ReleaseFailed) -> None:
-        """Note a hand-over that failed.
+        """Handle a hand-over whose release failed.
 
-        Guards against a hand-over that begins as the log goes down: nobody would hold
-        the engine for the whole outage, and what it has loaded could not be used.
+        Guards against an engine without a holder for a whole outage of the log.
         """
         if self._handing_over:
             return
         held = message.held
         if message.refused:
-            self._take_back(held)
+            self._restore(held)
         else:
             self._hand_overs.on_unknown(held)
 
-    def _take_back_lost_releases(self) -> None:
-        """Hold engines on whose release is lost, once the log is down for everybody.
+    def _restore_unknown_releases(self) -> None:
+        """Restore leases with an unknown release once no VM reaches the log.
 
-        Had the release reached the log before, its new holder would have told a later
-        fencing number by now; no VM can read it any more.
+        If the release had reached the log before, hints of the new holder would show
+        a higher fencing number.
         """
         if self._views.log_down_for_all:
             for held in self._hand_overs.take_unknown():
-                self._take_back(held)
+                self._restore(held)
 
-    def _take_back(self, held: HeldLease) -> None:
+    def _restore(self, held: HeldLease) -> None:
         known = self._views.lease_by_engine.get(held.engine)
         if known is not None and known.fencing > held.fencing:
             return
-        logger.info("lease on %s: kept, its release failed", held.engine)
+        logger.info("lease on %s: kept because its release failed", held.engine)
         self._own.restore(held)
         self._hold(held.engine, held.fencing)
 
--- a/tests/test_leases_actor.py
+++ b/tests/test_leases_actor.py
@@ -1,4 +1,4 @@
-"""The task that holds this VM's leases."""
+"""The actor that holds this VM's leases."""
 
 import logging
 from collections.abc import Iterator
@@ -29,18 +29,18 @@
 
 
 class ListLog:
-    """An appender that lands each record at once, read back by the keeper."""
+    """An appender that stores each record immediately, or fails while down."""
 
     def __init__(self) -> None:
         self.now = 100.0
         self.records: list[Any] = []
         self.down = False
-        self.drops_answers = False
+        self.drops_responses = False
         self.health = LogHealth(lambda: self.now)
 
     def append(self, value: Any, on_end: Any = None) -> None:
         if self.down:
-            unknown = self.drops_answers
+            unknown = self.drops_responses
             ended: Any = Err(LogFailure("down", may_have_taken_effect=unknown))
         else:
             self.records.append(value)
@@ -72,7 +72,7 @@
 
 
 @pytest.fixture
-def keeper(log: ListLog, views: Views) -> Iterator[pykka.ActorRef]:
+def actor(log: ListLog, views: Views) -> Iterator[pykka.ActorRef]:
     environment = Environment(
         settings=Settings(id="entry-1", lease_longest_term_s=2.5),
         metrics=Metrics(),
@@ -92,98 +92,95 @@
 
 
 class TestRecovery:
-    """Starting behind expired records."""
+    """Starting after expired records."""
 
-    def test_leases_are_taken_though_nobody_knows_the_chains(
+    def test_leases_are_taken_without_any_lease_table(
         self,
-        keeper: pykka.ActorRef,
+        actor: pykka.ActorRef,
         log: ListLog,
     ) -> None:
-        # All entry VMs were replaced together. The last snapshot of the lease table
-        # has expired on the log, some renewals of the dead VMs have not. The new VMs
-        # wait for a snapshot that none of them can write: no engine is served again.
+        # Guards against VMs that wait for a snapshot which none of them can write,
+        # after all entry VMs were replaced and the last snapshot has expired.
         log.records.append(Renewal("r1", "dead/1", {"runner-1": 3}).to_json())
         read = 0
         for _ in range(40):
             log.health.on_success()
-            keeper.ask(LeaseBatchRead(log.batch(read), log.now))
+            actor.ask(LeaseBatchRead(log.batch(read), log.now))
             read = len(log.records)
             log.now += 0.2
-            keeper.ask(Tick())
-        held = keeper.ask(DumpLeases())["held"]
+            actor.ask(Tick())
+        held = actor.ask(DumpLeases())["held"]
         assert set(held) == {"runner-1", "@weight-store"}
 
 
 class TestHandOverInAnOutage:
-    """Leases move to the VM that ranks first for them, but not into nowhere."""
+    """A hand-over must not leave an engine without a holder."""
 
     def test_an_engine_keeps_its_holder_while_the_log_refuses_records(
         self,
-        keeper: pykka.ActorRef,
+        actor: pykka.ActorRef,
         log: ListLog,
         views: Views,
     ) -> None:
-        """A request for an adapter that is loaded would be refused for a whole outage.
+        """Guards against an engine without a holder until the log is back.
 
-        A VM holds two leases. A second VM joins and ranks first for one of them; two
-        seconds later the log goes down, not yet noticed here. The holder lets go of
-        the engine, its release is refused, and nobody holds it until the log is back.
+        The log goes down, undetected, just before the lease is handed over.
         """
-        _let_time_pass(keeper, log, rounds=40)
-        assert set(_held(keeper)) == {"runner-1", "@weight-store"}
+        _run_rounds(actor, log, rounds=40)
+        assert set(_held(actor)) == {"runner-1", "@weight-store"}
         _join(views, "entry-2")
-        _let_time_pass(keeper, log, rounds=10)
+        _run_rounds(actor, log, rounds=10)
         log.down = True
-        _let_time_pass(keeper, log, rounds=40)
-        assert set(_held(keeper)) == {"runner-1", "@weight-store"}
+        _run_rounds(actor, log, rounds=40)
+        assert set(_held(actor)) == {"runner-1", "@weight-store"}
 
-    def test_an_engine_gets_its_holder_back_if_the_release_had_no_answer(
+    def test_a_lease_is_restored_if_its_release_had_no_response(
         self,
-        keeper: pykka.ActorRef,
+        actor: pykka.ActorRef,
         log: ListLog,
         views: Views,
     ) -> None:
-        """As above, but the log drops connections: the release may be on it.
+        """As above, but the release may be on the log.
 
-        Once nobody reaches the log, no successor can read it either.
+        The lease is restored once no VM, hence no successor, reaches the log.
         """
-        _let_time_pass(keeper, log, rounds=40)
+        _run_rounds(actor, log, rounds=40)
         _join(views, "entry-2")
-        _let_time_pass(keeper, log, rounds=10)
-        log.down = log.drops_answers = True
-        _let_time_pass(keeper, log, rounds=8)
-        assert len(_held(keeper)) == 1
+        _run_rounds(actor, log, rounds=10)
+        log.down = log.drops_responses = True
+        _run_rounds(actor, log, rounds=8)
+        assert len(_held(actor)) == 1
         views.log_down_until = float("inf")
-        _let_time_pass(keeper, log, rounds=2)
-        assert set(_held(keeper)) == {"runner-1", "@weight-store"}
+        _run_rounds(actor, log, rounds=2)
+        assert set(_held(actor)) == {"runner-1", "@weight-store"}
 
     def test_a_lease_moves_once_the_log_is_back(
         self,
-        keeper: pykka.ActorRef,
+        actor: pykka.ActorRef,
         log: ListLog,
         views: Views,
     ) -> None:
-        """An engine would stay with a VM that ranks behind another for ever."""
-        _let_time_pass(keeper, log, rounds=40)
+        """Guards against a lease that never moves to the VM that ranks first."""
+        _run_rounds(actor, log, rounds=40)
         _join(views, "entry-2")
-        _let_time_pass(keeper, log, rounds=10)
+        _run_rounds(actor, log, rounds=10)
         log.down = True
-        _let_time_pass(keeper, log, rounds=40)
+        _run_rounds(actor, log, rounds=40)
         log.down = False
-        _let_time_pass(keeper, log, rounds=40)
-        assert len(_held(keeper)) == 1
+        _run_rounds(actor, log, rounds=40)
+        assert len(_held(actor)) == 1
 
 
-def _let_time_pass(keeper: pykka.ActorRef, log: ListLog, rounds: int) -> None:
-    """Let 0.2 s pass in each round; the log answers reads unless it is down."""
+def _run_rounds(actor: pykka.ActorRef, log: ListLog, rounds: int) -> None:
+    """Advance 0.2 s in each round; reads of the log succeed unless it is down."""
     read = 0
     for _ in range(rounds):
         if not log.down:
             log.health.on_success()
-            keeper.ask(LeaseBatchRead(log.batch(read), log.now))
+            actor.ask(LeaseBatchRead(log.batch(read), log.now))
             read = len(log.records)
         log.now += 0.2
-        keeper.ask(Tick())
+        actor.ask(Tick())
 
 
 def _join(views: Views, vm_id: str) -> None:
@@ -192,5 +189,5 @@
     views.incarnation_by_vm = {vm_id: "i2"}
 
 
-def _held(keeper: pykka.ActorRef) -> dict[str, Any]:
-    return keeper.ask(DumpLeases())["held"]
+def _held(actor: pykka.ActorRef) -> dict[str, Any]:
+    return actor.ask(DumpLeases())["held"]
--- a/tests/test_leases_fold.py
+++ b/tests/test_leases_fold.py
@@ -1,4 +1,4 @@
-"""The fold of the lease stream and the rules of time."""
+"""The fold of the lease stream and the timing rules of leases."""
 
 from dataclasses import replace
 from typing import Any
@@ -29,9 +29,9 @@
 
 
 class TestChain:
-    """Which records count."""
+    """Which records are valid and which are void."""
 
-    def test_one_renewal_covers_all_leases_still_held(self) -> None:
+    def test_one_renewal_extends_all_leases_still_held(self) -> None:
         table = fold(TAKE_A, Take("r2", "a", "engine-2", after=-1))
         renewal = Renewal("r3", "a", {"engine-1": 0, "engine-2": 1, "engine-3": 0})
         outcome = table.apply(2, renewal.to_json(), read_at=9.0)
@@ -41,15 +41,15 @@
         assert table.lease_by_engine["engine-2"].read_at == 9.0
 
     def test_a_take_that_was_overtaken_by_a_renewal_is_void(self) -> None:
-        # b saw the take at offset 0, waited, was paused, and appended after a had
-        # renewed. Were its take to count, a and b would both order loads.
+        # Guards against two holders: b was paused before its append, and a renewed.
         table = fold(TAKE_A, Renewal("r2", "a", {"engine-1": 0}))
         outcome = table.apply(2, Take("r3", "b", "engine-1", after=0).to_json(), 2.0)
         assert isinstance(outcome, Void)
         assert table.lease_by_engine["engine-1"].holder == "a"
 
     def test_an_old_fencing_number_renews_nothing(self) -> None:
-        # a lost the engine and took it again; a copy of its old renewal comes late.
+        # a lost the engine and took it again; a delayed copy of its old renewal is
+        # then appended.
         table = fold(
             TAKE_A,
             Take("r2", "b", "engine-1", after=0),
@@ -92,23 +92,23 @@
         assert isinstance(table.apply(0, value, read_at=0.0), Void)
         assert not table.lease_by_engine
 
-    def test_a_gap_is_found_and_a_snapshot_leads_on(self) -> None:
+    def test_a_gap_raises_and_a_snapshot_recovers(self) -> None:
         table = fold(TAKE_A)
         with pytest.raises(LeaseGapError):
             table.apply(2, TAKE_A.to_json(), read_at=1.0)
         value = table.snapshot("s1")
         assert LeaseTable.from_snapshot(value, read_at=5.0, first=2) is None
-        late = LeaseTable.from_snapshot(value, read_at=5.0, first=1)
-        assert late is not None and late.next_offset == 1
-        assert late.lease_by_engine["engine-1"].read_at == 5.0
+        restored = LeaseTable.from_snapshot(value, read_at=5.0, first=1)
+        assert restored is not None and restored.next_offset == 1
+        assert restored.lease_by_engine["engine-1"].read_at == 5.0
 
 
 class TestTiming:
-    """When a holder may act and a taker may take."""
+    """When a holder may act and when a lease may be taken."""
 
     terms = LeaseTerms(term_s=3.0, margin_s=0.5, clock_error=0.01, rank_step_s=0.25)
 
-    def test_a_taker_waits_from_when_it_read(self) -> None:
+    def test_a_taker_waits_from_its_read_time(self) -> None:
         lease = fold(TAKE_A).lease_by_engine["engine-1"]
         assert self.terms.take_allowed_at(lease, 0, 100.0) == pytest.approx(
             3.5606, abs=1e-4
@@ -118,7 +118,7 @@
         )
         assert self.terms.take_allowed_at(None, 1, 100.0) == pytest.approx(100.25)
 
-    def test_a_renewal_counts_once_it_is_read_back(self) -> None:
+    def test_a_lease_is_valid_once_its_record_is_read_back(self) -> None:
         table = LeaseTable.empty()
         own = OwnLeases("a")
         own.note_sent(TAKE_A, now=10.0)
@@ -127,7 +127,7 @@
         assert own.fencing("engine-1", now=12.9) == 0
         assert own.fencing("engine-1", now=13.0) is None
 
-    def test_a_repeated_append_counts_from_its_first_sending(self) -> None:
+    def test_a_retried_append_counts_from_its_first_send(self) -> None:
         own = OwnLeases("a")
         own.note_sent(TAKE_A, now=10.0)
         own.note_sent(TAKE_A, now=12.0)
@@ -135,8 +135,8 @@
         assert own.fencing("engine-1", now=13.5) is None
 
     def test_a_holder_stops_before_it_releases(self) -> None:
-        # The release lands and the next holder works, while this node has not read
-        # anything yet: it must have stopped by itself.
+        # Guards against two holders: the next holder may act on the release before
+        # this node has read it.
         own = OwnLeases("a")
         own.note_sent(TAKE_A, now=10.0)
         own.apply(LeaseTable.empty().apply(0, TAKE_A.to_json(), read_at=10.0))
@@ -145,8 +145,8 @@
         assert not own.renewal("r2").fencing_by_engine
 
     def test_a_hand_over_is_valid_from_the_first_own_renewal(self) -> None:
-        # Others wait from when they read the release, which may be long before the
-        # next holder does: its own reading time says nothing about theirs.
+        # Guards against a term counted from the next holder's read time: other nodes
+        # may have read the release long before.
         table = fold(TAKE_A)
         own = OwnLeases("b")
         release = Release("r2", "a", "engine-1", fencing=0, next_node="b")
@@ -159,15 +159,14 @@
 
 
 class TestTermsThatDiffer:
-    """A taker waits for the term that the holder's own records name.
+    """A taker waits for the term in the holder's records.
 
-    Operators lengthen the term and replace the entry VMs one by one. A VM with the
-    old, short term must not take what one with the new term still holds.
+    Guards against VMs with a shorter term that take a lease which is still valid.
     """
 
     terms = LeaseTerms(term_s=1.0, margin_s=0.5, clock_error=0.0)
 
-    def test_a_long_take_is_waited_for(self) -> None:
+    def test_a_taker_waits_for_the_term_of_a_take(self) -> None:
         table = fold(replace(TAKE_A, term_s=10.0))
         lease = table.lease_by_engine["engine-1"]
         assert self.terms.take_allowed_at(lease, 0, 0.0) == 10.5
@@ -180,7 +179,7 @@
         lease = table.lease_by_engine["engine-1"]
         assert self.terms.take_allowed_at(lease, 0, 0.0) == 11.5
 
-    def test_the_holder_counts_the_term_that_it_named(self) -> None:
+    def test_the_holder_uses_the_term_of_its_record(self) -> None:
         own = OwnLeases("a")
         take = replace(TAKE_A, term_s=10.0)
         own.note_sent(take, now=0.0)
@@ -190,20 +189,20 @@
 
     def test_a_snapshot_keeps_the_term(self) -> None:
         table = fold(replace(TAKE_A, term_s=10.0))
-        again = LeaseTable.from_snapshot(table.snapshot("s1"), read_at=0.0)
-        assert again is not None
-        assert again.lease_by_engine["engine-1"].term_s == 10.0
+        restored = LeaseTable.from_snapshot(table.snapshot("s1"), read_at=0.0)
+        assert restored is not None
+        assert restored.lease_by_engine["engine-1"].term_s == 10.0
 
 
 class TestTermsOfAFleet:
-    """The renewals of a large fleet stay within the log's appends."""
+    """The renewals of a large fleet stay within the limit for the log."""
 
     terms = LeaseTerms(term_s=2.5, renew_every_s=0.8)
 
-    def test_today_nothing_changes(self) -> None:
+    def test_a_small_fleet_keeps_its_terms(self) -> None:
         assert self.terms.for_fleet(9) == self.terms
 
-    def test_at_380_vms_twenty_renewals_a_second(self) -> None:
+    def test_a_large_fleet_renews_less_often(self) -> None:
         terms = self.terms.for_fleet(380)
         assert 380 / terms.renew_every_s <= 20.0
         assert terms.term_s > 2 * terms.renew_every_s
@@ -211,7 +210,7 @@
 
 
 class TestRecovery:
-    """Starting behind expired records."""
+    """Starting after expired records."""
 
     terms = LeaseTerms(
         term_s=3.0,
@@ -220,10 +219,9 @@
         longest_term_s=3.0,
     )
 
-    def test_without_a_snapshot_a_reset_begins_anew(self) -> None:
-        # All entry VMs were replaced at once, after the last snapshot expired and
-        # before the last renewals did. None knows who held what; without a reset no
-        # engine would be served again.
+    def test_without_a_snapshot_a_reset_restarts_the_table(self) -> None:
+        # Guards against engines that are never taken again after all entry VMs were
+        # replaced and the last snapshot expired.
         log: list[Any] = [None, None, Renewal("r1", "dead", {"engine-1": 0}).to_json()]
         recovery = LeaseRecovery(first=2, now=100.0)
         assert recovery.add(2, log[2], read_at=101.0) is None
@@ -234,7 +232,7 @@
         taken = table.apply(4, Take("r3", "a", "engine-1", -1).to_json(), 105.1)
         assert isinstance(taken, Moved)
 
-    def test_a_reset_that_a_renewal_overtook_is_void_for_all(self) -> None:
+    def test_a_reset_overtaken_by_a_renewal_is_void_for_all_readers(self) -> None:
         table = fold(TAKE_A, Renewal("r2", "a", {"engine-1": 0}))
         reset = Reset("r3", "b", after=0).to_json()
         assert isinstance(table.apply(2, reset, read_at=2.0), Void)
@@ -242,11 +240,11 @@
         recovery.add(1, Renewal("r2", "a", {"engine-1": 0}).to_json(), read_at=0.0)
         assert recovery.add(2, reset, read_at=0.0) is None
 
-    def test_a_reset_written_before_the_reader_began_is_not_judged(self) -> None:
+    def test_a_reset_written_before_the_first_record_read_is_ignored(self) -> None:
         recovery = LeaseRecovery(first=5, now=0.0)
         assert recovery.add(5, Reset("r3", "b", after=3).to_json(), 0.0) is None
 
-    def test_a_full_reader_drops_its_leases_at_a_reset(self) -> None:
+    def test_a_holder_drops_its_leases_at_a_reset(self) -> None:
         table = fold(TAKE_A)
         own = OwnLeases("a")
         own.note_sent(TAKE_A, now=0.0)
--- a/tests/test_leases_machine.py
+++ b/tests/test_leases_machine.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of leases: never two nodes that both hold theirs for valid."""
+"""Stateful test of leases: an engine never has two valid holders."""
 
 from typing import Any
 
@@ -20,8 +20,7 @@
 NODES = 3
 ENGINES = ("engine-1", "engine-2")
 CLOCK_ERROR = 0.1
-# Next to no margin (for rounding): the rules alone must hold with clocks as wrong as
-# they are said to be.
+# The margin covers only rounding: the rules alone must hold up to the clock error.
 TERMS = LeaseTerms(
     term_s=3.0,
     margin_s=1e-6,
@@ -34,19 +33,19 @@
 
 
 class Node:
-    """One incarnation of an entry VM, with a clock of its own."""
+    """An entry VM with its own clock."""
 
     def __init__(self, name: str, rate: float, term_s: float) -> None:
         self.name = name
         self.rate = rate
         self.term_s = term_s
-        self.start_anew(0)
+        self.restart(0)
 
-    def start_anew(self, incarnation: int) -> None:
+    def restart(self, incarnation: int) -> None:
         self.id = f"{self.name}/{incarnation}"
         self.own = OwnLeases(self.id)
         self.table = LeaseTable.empty()
-        # Set while the node has found no state to read on from.
+        # Set while the node has no lease table to continue from.
         self.recovery: LeaseRecovery | None = None
         self.sent = 0
 
@@ -59,10 +58,9 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Reading lag, pauses, appends that land late, twice or after a restart.
+    """Read lag, pauses, and appends that are late, repeated or from before a restart.
 
-    Nodes differ in their terms, as they do while a setting is changed VM by VM; each
-    may change its own.
+    Nodes have different terms, as while a setting is rolled out, and may change them.
     """
 
     @initialize(
@@ -98,8 +96,8 @@
         self.now += seconds
 
     @rule(index=st.integers(0, 9), keep=st.booleans())
-    def land(self, index: int, keep: bool) -> None:
-        """Let an append take effect; kept ones take effect again (repeats)."""
+    def append_one(self, index: int, keep: bool) -> None:
+        """Append a record in flight; a kept one may be appended again."""
         if not self.in_flight:
             return
         index %= len(self.in_flight)
@@ -144,8 +142,8 @@
                 node.own.reconcile(table.lease_by_engine)
                 return
 
-    @rule(node=nodes, lands=st.booleans())
-    def reset_when_due(self, node: int, lands: bool) -> None:
+    @rule(node=nodes, appended=st.booleans())
+    def reset_when_due(self, node: int, appended: bool) -> None:
         actor = self.nodes[node]
         self.read_on(actor, 99)
         if actor.recovery is None:
@@ -155,8 +153,8 @@
         self.now += max(0.0, (due - clock) / actor.rate)
         if actor.clock(self.now) >= due:
             self.send(actor, actor.recovery.reset(actor.next_record_id(), actor.id))
-        if lands:
-            self.land_last(actor)
+        if appended:
+            self.append_last(actor)
 
     def check_fencing(self, outcome: Moved) -> None:
         highest = self.fencing_by_engine.get(outcome.engine, -1)
@@ -196,8 +194,8 @@
         )
 
     @rule(node=nodes, engine=engines, at_once=st.booleans())
-    def take_at_the_first_moment(self, node: int, engine: str, at_once: bool) -> None:
-        """Read all, wait for just as long as needed, take and read back."""
+    def take_as_early_as_allowed(self, node: int, engine: str, at_once: bool) -> None:
+        """Read all records, wait for as long as required, take and read back."""
         taker = self.nodes[node]
         self.read_on(taker, 99)
         lease = taker.table.lease_by_engine.get(engine)
@@ -206,17 +204,17 @@
         self.now += max(0.0, (due - clock) / taker.rate)
         self.take_when_due(node, engine)
         if at_once:
-            self.land_last(taker)
+            self.append_last(taker)
 
     @rule(node=nodes, seconds=st.sampled_from([0.0, 1.0, 2.9]))
     def renew_and_read_back(self, node: int, seconds: float) -> None:
         self.read_on(self.nodes[node], 99)
         self.renew(node)
         self.now += seconds
-        self.land_last(self.nodes[node])
+        self.append_last(self.nodes[node])
 
     @rule(node=nodes, seconds=st.sampled_from([0.5, 2.0]))
-    def renew_again_after_a_lost_answer(self, node: int, seconds: float) -> None:
+    def renew_again_after_a_lost_response(self, node: int, seconds: float) -> None:
         holder = self.nodes[node]
         self.read_on(holder, 99)
         renewal = holder.own.renewal(holder.next_record_id(), holder.term_s)
@@ -230,15 +228,15 @@
         self.read_on(holder, 99)
 
     @rule(node=nodes, holder=nodes, engine=engines)
-    def take_that_lands_after_a_renewal(
+    def take_that_is_appended_after_a_renewal(
         self,
         node: int,
         holder: int,
         engine: str,
     ) -> None:
-        """Its writer was right to take, and then paused before the append."""
+        """Pause the writer of a valid take before its append."""
         self.renew_and_read_back(holder, 0.0)
-        self.take_at_the_first_moment(node, engine, at_once=False)
+        self.take_as_early_as_allowed(node, engine, at_once=False)
         take = self.in_flight.pop() if self.in_flight else None
         self.renew_and_read_back(holder, 0.0)
         self.log.append(take)
@@ -252,7 +250,7 @@
             self.log.append(self.in_flight.pop())
             self.renew_and_read_back(successor, 0.0)
 
-    def land_last(self, node: Node) -> None:
+    def append_last(self, node: Node) -> None:
         if self.in_flight:
             self.log.append(self.in_flight.pop())
         self.read_on(node, 99)
@@ -272,7 +270,7 @@
     def expire_after_a_snapshot(self, node: int, other: int, kept: int) -> None:
         self.read_on(self.nodes[node], 99)
         self.write_snapshot(node)
-        self.land_last(self.nodes[node])
+        self.append_last(self.nodes[node])
         self.first = max(self.first, len(self.log) - 1 - kept)
         self.restart(other)
         self.read_on(self.nodes[other], 1)
@@ -281,7 +279,7 @@
     @rule(node=nodes)
     def restart(self, node: int) -> None:
         self.incarnations += 1
-        self.nodes[node].start_anew(self.incarnations)
+        self.nodes[node].restart(self.incarnations)
 
     @invariant()
     def at_most_one_valid_holder(self) -> None:
