--- a/bamboovale/claims/answers.py
+++ b/bamboovale/claims/answers.py
@@ -1,4 +1,4 @@
-"""Answers of keyed requests, kept by the VM that ran them, for their repeats."""
+"""Stored answers of requests with an idempotency key, on the VM that ran them."""
 
 import threading
 from collections import OrderedDict
@@ -6,14 +6,14 @@
 from enum import StrEnum
 
 MAX_BODY_BYTES = 256 * 1024
-"""A larger answer is not kept: its repeat is told ``outcome_unknown``."""
+"""A larger answer is not stored: retries get ``outcome_unknown``."""
 
 MAX_TOTAL_BYTES = 8 * 1024 * 1024
-"""An eighth of a node's 64 MB; the oldest answers go first."""
+"""Bounds the memory of the store; the oldest answers are dropped first."""
 
 
 class AnswerState(StrEnum):
-    """What became of an attempt."""
+    """State of an attempt to run a request."""
 
     RUNNING = "running"
     ANSWERED = "answered"
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class StoredAnswer:
-    """An attempt's end; status, headers and body only where ``ANSWERED``."""
+    """An attempt's state; status, headers and body are set only if ``ANSWERED``."""
 
     state: AnswerState
     status: int = 0
@@ -32,7 +32,7 @@
 
 
 class AnswerStore:
-    """Answers by attempt id, bounded in bytes."""
+    """Answers by attempt id, bounded in bytes; thread-safe."""
 
     def __init__(self) -> None:
         self._answer_by_attempt: OrderedDict[str, StoredAnswer] = OrderedDict()
@@ -40,17 +40,17 @@
         self._lock = threading.Lock()
 
     def begin(self, attempt_id: str) -> None:
-        """Note that an attempt is under way."""
+        """Record that an attempt is running."""
         self._put(attempt_id, StoredAnswer(AnswerState.RUNNING))
 
     def end(self, attempt_id: str, answer: StoredAnswer) -> None:
-        """Note how an attempt ended."""
+        """Store the outcome of an attempt."""
         if len(answer.body) > MAX_BODY_BYTES:
             answer = StoredAnswer(AnswerState.UNKNOWN)
         self._put(attempt_id, answer)
 
     def find(self, attempt_id: str) -> StoredAnswer:
-        """Return what is known of an attempt of this VM."""
+        """Return an attempt's stored answer; its state is ``UNKNOWN`` if it has none."""
         with self._lock:
             return self._answer_by_attempt.get(
                 attempt_id,
--- a/bamboovale/claims/fold.py
+++ b/bamboovale/claims/fold.py
@@ -1,15 +1,14 @@
-"""Claims of keyed non-idempotent requests, folded from the log.
-
-The first claim for a customer's key in the order of the log wins, whoever wrote it
-and whenever its writer learns of it; only the winner's writer may send, once. So a
-pause, a lost append answer or two entry VMs cannot run a request twice.
-
-A key is remembered for the horizon after the last claim that named it, by the log
-service's own time stamps, which are the same for every reader. Horizon and size are
-the same on every entry VM: two tables that forget differently could each let an
-attempt win, so a change of either goes with a new stream. A reader that has
-read less than a whole horizon of the stream cannot know whether a key it never saw
-was claimed before: the verdict is then UNKNOWN, and nothing is sent.
+"""Claims of idempotency keys as a deterministic fold of the claim stream.
+
+The first claim of a customer's key in log order wins, and only its writer may send
+the request, once. So a pause, a lost append response or two entry VMs cannot run a
+request twice.
+
+A key is remembered for the horizon after its last claim, by the log service's
+timestamps, which are the same for every reader. Horizon and table size must be the
+same on every entry VM, or two attempts could win; changing either requires a new
+stream. A reader that has read less than a whole horizon cannot know whether an unseen
+key was claimed before: the verdict is then UNKNOWN, and nothing is sent.
 """
 
 import math
@@ -28,19 +27,17 @@
     parse_items,
 )
 
-# Callers and people at a counter repeat within minutes. The log must keep claims for
-# longer, or a starting VM cannot judge new keys.
+# Longer than callers retry, shorter than the log's retention: otherwise a starting VM
+# could not decide on new keys.
 DEFAULT_HORIZON_S = 3000.0
-# A full table refuses new keys instead of forgetting old ones: forgetting one early
-# would let its repeat run a second time.
+# A full table refuses new keys: dropping old ones early would let a retry run a
+# request twice.
 DEFAULT_MAX_CLAIMS = 60_000
-# One customer cannot fill the table for all others. Half, because a deployment may
-# have one customer with nearly all the keys.
+# One customer cannot fill the table for all others.
 MAX_SHARE_OF_CUSTOMER = 0.5
-# A key that is claimed and released over and over keeps this many attempt ids. Were a
-# copy of an older claim to arrive later still, it would win and never be sent: the key
-# stays blocked for a horizon, and nothing runs twice.
-MAX_GIVEN_UP = 8
+# Released attempt ids remembered per key. A delayed copy of an older claim wins and is
+# never sent: the key is blocked for a horizon, but nothing runs twice.
+MAX_RELEASED_ATTEMPTS = 8
 BODY_DIGEST_BYTES = 7
 
 
@@ -54,11 +51,11 @@
 
 
 class Verdict(StrEnum):
-    """What a claim came to.
+    """Result of a claim.
 
-    Only the writer of a WON claim may send. An attempt wins once: later copies of
-    its claim are REPEATED. LOST, BODY_DIFFERS, TABLE_FULL and GIVEN_UP were not run
-    by this attempt; after UNKNOWN its writer releases it unsent.
+    Only the writer of a WON claim may send the request. Later copies of a claim that
+    won are REPEATED. After LOST, BODY_DIFFERS, TABLE_FULL and GIVEN_UP this attempt
+    did not run; after UNKNOWN its writer releases it without sending.
     """
 
     WON = "won"
@@ -71,7 +68,7 @@
 
 
 class KeyState(StrEnum):
-    """What is known about a key."""
+    """State of an idempotency key."""
 
     FREE = "free"
     CLAIMED = "claimed"
@@ -82,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyInfo:
-    """A key's state and, if it is claimed, whose attempt holds it."""
+    """A key's state and, if it is claimed, the attempt that holds it."""
 
     state: KeyState
     node: str = ""
@@ -93,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimOutcome:
-    """The verdict on one claim; for LOST, ``holder`` says whose attempt won."""
+    """The verdict on one claim; for LOST, ``holder`` is the attempt that won."""
 
     claim: Claim
     verdict: Verdict
@@ -102,7 +99,7 @@
 
 @dataclass(slots=True)
 class _KeyRecord:
-    """What is kept of a key. ``attempt_id`` is None while nobody holds it."""
+    """State of one key; ``attempt_id`` is None while no attempt holds it."""
 
     owner: str
     expires_at: float = 0.0
@@ -111,14 +108,14 @@
     incarnation: str = ""
     attempt_id: str | None = None
     status: int | None = None
-    # Released attempts never win again, should a late copy of their claim arrive.
-    given_up: tuple[str, ...] = ()
+    # Delayed copies of the claims of released attempts must not win.
+    released_attempts: tuple[str, ...] = ()
     # First seen while the table was incomplete: an earlier claim may have won.
-    unsure: bool = False
+    is_uncertain: bool = False
 
 
 class ClaimTable:
-    """Who may send which key; owned by the one task that reads the stream."""
+    """The claim of each key; owned by the actor that reads the stream."""
 
     def __init__(
         self,
@@ -130,10 +127,10 @@
         self.unreadable_items = 0
         self._max_claims = max_claims
         self._now = 0.0
-        # Log time from which the table has seen every record; None: from the start;
+        # Log time from which every record was read; None: from the stream's start;
         # infinite until the first record after a gap.
         self._complete_from: float | None = None
-        # In the order of expiry, because a touched key moves to the end.
+        # Ordered by expiry, because a renewed key moves to the end.
         self._record_by_digest: dict[bytes, _KeyRecord] = {}
         self._count_by_owner: Counter[str] = Counter()
 
@@ -144,11 +141,10 @@
         horizon_s: float = DEFAULT_HORIZON_S,
         max_claims: int = DEFAULT_MAX_CLAIMS,
     ) -> "ClaimTable":
-        """Return a table for a reader that starts at the oldest kept offset.
+        """Return a table for a reader that starts at the oldest retained offset.
 
-        Keys it has not seen are UNKNOWN until it has read a whole horizon. The log's
-        time is known from records alone, so on a quiet stream its owner appends an
-        empty group now and then while the table is not complete.
+        Unseen keys are UNKNOWN until it has read a whole horizon. The log's time is
+        known only from records, so on an idle stream empty records are appended.
         """
         table = cls(horizon_s=horizon_s, max_claims=max_claims)
         table.next_offset = first
@@ -160,23 +156,24 @@
 
     @property
     def is_complete(self) -> bool:
-        """Return whether a key that is not in the table is known to be free."""
+        """Return whether a key that is not in the table is free."""
         if self._complete_from is None:
             return True
         return self._now - self._complete_from >= self.horizon_s
 
     def apply(self, offset: int, value: Any, log_time: float) -> list[ClaimOutcome]:
-        """Fold one record with the log's time stamp; return verdicts on its claims.
+        """Apply one record with its log timestamp; return the outcomes of its claims.
 
-        A record read again changes nothing. Raises :class:`ClaimGapError` if records
-        are missing before this one; the reader then starts with ``after_gap``.
+        Records that were applied before change nothing. Raises
+        :class:`ClaimGapError` if records are missing before this one; the reader
+        then continues with ``after_gap``.
         """
         if offset < self.next_offset:
             return []
         if offset > self.next_offset:
             raise ClaimGapError(self.next_offset, offset)
         self.next_offset = offset + 1
-        # The log's clock may be set back; the horizon never shrinks for that.
+        # Guards against keys that expire early because the log's clock was set back.
         self._now = max(self._now, log_time)
         if self._complete_from == math.inf:
             self._complete_from = self._now
@@ -194,7 +191,7 @@
         return outcomes
 
     def lookup(self, owner: str, key: str, body_hash: str) -> KeyInfo:
-        """Return what is known of a key, before a claim is written."""
+        """Return the state of a key."""
         record = self._record_by_digest.get(key_digest(owner, key))
         if record is None:
             state = KeyState.FREE if self.is_complete else KeyState.UNKNOWN
@@ -206,21 +203,21 @@
         record = self._record_by_digest.get(digest)
         if record is None:
             if self._is_full(claim.owner):
-                self._note_full()
+                self._mark_incomplete()
                 return ClaimOutcome(
                     claim,
                     Verdict.TABLE_FULL,
                     KeyInfo(KeyState.FREE),
                 )
             record = self._new_record(claim.owner)
-        self._touch(digest, record)
-        verdict = self._judge(claim, record)
+        self._renew(digest, record)
+        verdict = self._evaluate(claim, record)
         return ClaimOutcome(claim, verdict, _key_info(record, claim.body_hash))
 
-    def _judge(self, claim: Claim, record: _KeyRecord) -> Verdict:
-        if record.unsure:
+    def _evaluate(self, claim: Claim, record: _KeyRecord) -> Verdict:
+        if record.is_uncertain:
             return Verdict.UNKNOWN
-        if claim.attempt_id in record.given_up:
+        if claim.attempt_id in record.released_attempts:
             return Verdict.GIVEN_UP
         if record.attempt_id is None:
             record.body_digest = _body_digest(claim.body_hash)
@@ -238,23 +235,23 @@
         digest = key_digest(released.owner, released.key)
         record = self._record_by_digest.get(digest)
         if record is None and not self._is_full(released.owner):
-            # The append of the claim may still be under way and land after this; it
-            # must not win for an attempt that is never sent.
+            # The claim may still be in flight and be appended after its release; it
+            # must not win, because the attempt is never sent.
             record = self._new_record(released.owner)
-            self._touch(digest, record)
+            self._renew(digest, record)
         if record is None or record.status is not None:
             return
-        if released.attempt_id not in record.given_up:
-            kept = record.given_up[1 - MAX_GIVEN_UP :]
-            record.given_up = (*kept, released.attempt_id)
-        # An incomplete table may take a loser for the winner. Its release must not
-        # free a key that the true winner may have sent.
-        if record.attempt_id == released.attempt_id and not record.unsure:
+        if released.attempt_id not in record.released_attempts:
+            kept = record.released_attempts[1 - MAX_RELEASED_ATTEMPTS :]
+            record.released_attempts = (*kept, released.attempt_id)
+        # An incomplete table may treat a losing attempt as the winner. Its release
+        # must not free a key whose actual winner may have sent the request.
+        if record.attempt_id == released.attempt_id and not record.is_uncertain:
             record.attempt_id = None
 
     def _new_record(self, owner: str) -> _KeyRecord:
         self._count_by_owner[owner] += 1
-        return _KeyRecord(owner=intern(owner), unsure=not self.is_complete)
+        return _KeyRecord(owner=intern(owner), is_uncertain=not self.is_complete)
 
     def _answer(self, answered: Answered) -> None:
         record = self._record_by_digest.get(key_digest(answered.owner, answered.key))
@@ -268,17 +265,16 @@
             or self._count_by_owner[owner] >= share
         )
 
-    def _note_full(self) -> None:
-        # After a gap this table may hold keys that others refused, and so be full
-        # where theirs are not. The key it refuses now may be claimed for them: from
-        # here on it has not seen everything.
+    def _mark_incomplete(self) -> None:
+        # After a gap this table may hold keys that other tables refused, and be full
+        # while they are not. They may accept the claim that it refuses now, so from
+        # here on it is incomplete.
         if self._complete_from is not None:
             self._complete_from = self._now
 
-    def _touch(self, digest: bytes, record: _KeyRecord) -> None:
-        # Every claim extends the memory of its key. So whether a key is remembered
-        # depends on the last horizon alone, and a reader that has read that much
-        # remembers every key that others do.
+    def _renew(self, digest: bytes, record: _KeyRecord) -> None:
+        # Every claim renews its key, so that whether a key is remembered depends only
+        # on the last horizon, and every reader that has read that much agrees.
         record.expires_at = self._now + self.horizon_s
         self._record_by_digest.pop(digest, None)
         self._record_by_digest[digest] = record
@@ -296,13 +292,13 @@
 
 
 def _body_digest(body_hash: str) -> int:
-    """Return a short form of a body's hash: memory at many thousand claims."""
+    """Return a body's hash shortened to an integer, to save memory."""
     digest = blake2b(body_hash.encode(), digest_size=BODY_DIGEST_BYTES).digest()
     return int.from_bytes(digest, "big")
 
 
 def _key_info(record: _KeyRecord, body_hash: str) -> KeyInfo:
-    if record.unsure:
+    if record.is_uncertain:
         return KeyInfo(KeyState.UNKNOWN)
     if record.attempt_id is None:
         return KeyInfo(KeyState.FREE)
