--- a/bamboovale/claims/actor.py
+++ b/bamboovale/claims/actor.py
@@ -1,4 +1,4 @@
-"""Claims keys of non-idempotent requests on the log, many in one append."""
+"""The actor that claims idempotency keys on the log, in group commits."""
 
 from concurrent.futures import Future
 from dataclasses import dataclass
@@ -16,14 +16,12 @@
 CLAIM_STREAM = "claims"
 
 MAX_ITEMS_PER_APPEND = 1000
-"""About 300 bytes each: a third of the largest record."""
+"""Keeps a group commit well below the log's record size limit."""
 
-QUIET_APPEND_S = 10.0
-"""On a stream that was quiet for this long, up to twice, one VM appends an empty group.
-A VM that starts later learns from its time how far back the kept records reach.
-Without it the oldest kept claim on a quiet stream is much younger than the log's
-retention, and a new VM would answer ``outcome_unknown`` to every new key until a
-horizon has passed."""
+IDLE_APPEND_S = 10.0
+"""Once or twice this time without records, one VM appends an empty group. Without
+these timestamps a new VM on an idle stream could not tell how far back the retained
+records reach, and would answer ``outcome_unknown`` to new keys for a whole horizon."""
 
 
 @dataclass(frozen=True)
@@ -35,10 +33,10 @@
 
 @dataclass(frozen=True)
 class ClaimRequested:
-    """A caller's thread wants a claim; ``deadline`` is on the monotonic clock.
+    """A caller's thread requests a claim; ``deadline`` is on the monotonic clock.
 
-    The future brings the outcome, or None if the claim did not come about: the
-    attempt is then never sent.
+    The future resolves to the outcome, or to None if the claim failed: the attempt
+    is then never sent.
     """
 
     claim: Claim
@@ -48,7 +46,7 @@
 
 @dataclass(frozen=True)
 class ClaimEnded:
-    """The attempt was answered, or is released unsent."""
+    """The attempt was answered, or is released without being sent."""
 
     item: Answered | Released
 
@@ -67,7 +65,7 @@
 
 
 class ClaimActor(MessageActor):
-    """Owns the claim table and the group commit of this VM's claims."""
+    """Owns the claim table and the group commits of this VM's claims."""
 
     def __init__(self, environment: Environment, appender: Appender) -> None:
         super().__init__(environment.metrics.internal_faults.inc)
@@ -75,11 +73,11 @@
         self._appender = appender
         self._table: ClaimTable | None = None
         self._pending: list[ClaimItem] = []
-        self._asked_by_attempt: dict[str, ClaimRequested] = {}
+        self._request_by_attempt: dict[str, ClaimRequested] = {}
         self._appending = False
-        self._next_quiet_append_at = self._environment.now() + QUIET_APPEND_S
+        self._next_idle_append_at = self._environment.now() + IDLE_APPEND_S
         self.handle(ClaimBatchRead, self._on_batch)
-        self.handle(ClaimRequested, self._on_asked)
+        self.handle(ClaimRequested, self._on_requested)
         self.handle(ClaimEnded, self._on_ended)
         self.handle(AppendEnded, self._on_append_ended)
         self.handle(Tick, self._on_tick)
@@ -88,13 +86,13 @@
     def _on_batch(self, message: ClaimBatchRead) -> None:
         batch = message.batch
         if batch.records:
-            self._put_off_quiet_append()
+            self._postpone_idle_append()
         horizon_s = self._environment.settings.claim_horizon_s
         if self._table is None:
             self._table = ClaimTable(horizon_s=horizon_s)
         first = batch.records[0].offset if batch.records else batch.first
         if first > self._table.next_offset:
-            # Claims that expired unread may have won any key: none is judged free
+            # Claims that expired unread may have won any key: unseen keys are unknown
             # until a whole horizon has been read.
             self._table = ClaimTable.after_gap(first, horizon_s=horizon_s)
         for record in batch.records:
@@ -104,19 +102,19 @@
                 self._table = ClaimTable.after_gap(record.offset, horizon_s=horizon_s)
                 outcomes = self._table.apply(record.offset, record.value, record.time)
             for outcome in outcomes:
-                self._settle(outcome)
+                self._resolve(outcome)
 
-    def _settle(self, outcome: ClaimOutcome) -> None:
-        asked = self._asked_by_attempt.pop(outcome.claim.attempt_id, None)
-        if asked is None:
+    def _resolve(self, outcome: ClaimOutcome) -> None:
+        request = self._request_by_attempt.pop(outcome.claim.attempt_id, None)
+        if request is None:
             return
         self._environment.metrics.claims.labels(outcome=outcome.verdict.value).inc()
         if outcome.verdict is Verdict.UNKNOWN:
-            self._release(asked.claim)
-        asked.future.set_result(outcome)
+            self._release(request.claim)
+        request.future.set_result(outcome)
 
-    def _on_asked(self, message: ClaimRequested) -> None:
-        self._asked_by_attempt[message.claim.attempt_id] = message
+    def _on_requested(self, message: ClaimRequested) -> None:
+        self._request_by_attempt[message.claim.attempt_id] = message
         self._pending.append(message.claim)
         self._append_pending()
 
@@ -125,10 +123,10 @@
         self._append_pending()
 
     def _append_pending(self) -> None:
-        """Append all that waits in one record; one append is under way at a time.
+        """Append all pending items in one record, with one append at a time.
 
-        Without this each claim would be an append of its own, and the log's several
-        hundred appends a second would bound the requests of all entry VMs together.
+        Guards against one append per claim, which would limit all entry VMs together
+        to the log's append rate.
         """
         if self._appending or not self._pending:
             return
@@ -155,38 +153,38 @@
         )
         if refused:
             for attempt_id in message.attempt_ids:
-                asked = self._asked_by_attempt.pop(attempt_id, None)
-                if asked is not None:
+                request = self._request_by_attempt.pop(attempt_id, None)
+                if request is not None:
                     self._environment.metrics.claims.labels(outcome="refused").inc()
-                    asked.future.set_result(None)
+                    request.future.set_result(None)
             return
         self._append_pending()
 
     def _on_tick(self, _: Tick) -> None:
         now = self._environment.now()
-        for asked in list(self._asked_by_attempt.values()):
-            if now >= asked.deadline:
-                self._give_up(asked)
+        for request in list(self._request_by_attempt.values()):
+            if now >= request.deadline:
+                self._give_up(request)
         self._append_pending()
-        if now >= self._next_quiet_append_at and not self._appending:
-            self._put_off_quiet_append()
+        if now >= self._next_idle_append_at and not self._appending:
+            self._postpone_idle_append()
             self._appender.append(encode_items([]))
 
-    def _give_up(self, asked: ClaimRequested) -> None:
-        """End a wait for a read-back; the decision never to send comes first."""
-        del self._asked_by_attempt[asked.claim.attempt_id]
+    def _give_up(self, request: ClaimRequested) -> None:
+        """Stop waiting for a claim to be read back; decide not to send it first."""
+        del self._request_by_attempt[request.claim.attempt_id]
         self._environment.metrics.claims.labels(outcome="given_up").inc()
-        asked.future.set_result(None)
-        self._release(asked.claim)
+        request.future.set_result(None)
+        self._release(request.claim)
 
     def _release(self, claim: Claim) -> None:
         self._pending = [item for item in self._pending if item != claim]
         self._pending.append(Released(claim.key, claim.owner, claim.attempt_id))
 
-    def _put_off_quiet_append(self) -> None:
-        # Spread at random, so that as a rule one VM appends and the others read it.
-        wait_s = QUIET_APPEND_S * (1 + self._environment.rng.random())
-        self._next_quiet_append_at = self._environment.now() + wait_s
+    def _postpone_idle_append(self) -> None:
+        # Randomized, so that usually one VM appends and the others read its record.
+        wait_s = IDLE_APPEND_S * (1 + self._environment.rng.random())
+        self._next_idle_append_at = self._environment.now() + wait_s
 
     def _on_dump(self, _: DumpClaims) -> dict[str, Any]:
         table = self._table
@@ -194,6 +192,6 @@
             "keys": None if table is None else len(table),
             "complete": None if table is None else table.is_complete,
             "next_offset": None if table is None else table.next_offset,
-            "waiting": len(self._asked_by_attempt),
+            "waiting": len(self._request_by_attempt),
             "pending": len(self._pending),
         }
--- a/bamboovale/claims/records.py
+++ b/bamboovale/claims/records.py
@@ -1,6 +1,6 @@
-"""Records of the claim stream: typed in the program, JSON maps on the log.
+"""Records of the claim stream and their JSON form on the log.
 
-One append may carry many records of all three types (group commit) in a value
+One append may contain many records of all three types (group commit) in a value
 ``{"type": "batch", "records": [...]}``.
 """
 
@@ -15,11 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """An attempt asks to be the one that runs a customer's key.
+    """An attempt claims the right to run the request with a customer's key.
 
-    ``attempt_id`` is unique among all attempts; ``incarnation`` is that of the node,
-    which alone may ever send the attempt. ``at`` is the writer's wall clock, for
-    display only.
+    ``attempt_id`` is globally unique; only the node with this ``incarnation`` may send
+    the attempt. ``at`` is the writer's wall clock, for display only.
     """
 
     key: str
@@ -45,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Released:
-    """The attempt's writer has decided, before this record, never to send it."""
+    """The attempt's writer decided, before this record, never to send it."""
 
     key: str
     owner: str
@@ -62,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The attempt was answered; ``node`` still has the answer for a while."""
+    """The attempt was answered with ``status``; its node stores the answer."""
 
     key: str
     owner: str
@@ -83,7 +82,7 @@
 
 
 def encode_items(items: Iterable[ClaimItem]) -> dict[str, Any]:
-    """Return one value for the log that carries all items in their order."""
+    """Return one value for the log that contains all items in order."""
     records: list[dict[str, Any]] = []
     for item in items:
         record_type = _TYPE_BY_CLASS[type(item)]
@@ -94,7 +93,7 @@
 
 
 def parse_items(value: Any) -> Iterator[ClaimItem | None]:
-    """Return the items of a value of the stream; None for one that is unreadable."""
+    """Yield the items of a value of the stream, None for each unreadable one."""
     if not isinstance(value, dict):
         yield None
     elif value.get("type") == "batch" and isinstance(value.get("records"), list):
@@ -105,13 +104,13 @@
 
 
 def key_digest(owner: str, key: str) -> bytes:
-    """Return the digest under which a customer's key is kept."""
+    """Return the digest that identifies a customer's key."""
     text = f"{len(owner)}:{owner}{key}"
     return blake2b(text.encode(), digest_size=KEY_DIGEST_BYTES).digest()
 
 
 def partition_of(owner: str, key: str, count: int) -> int:
-    """Return which of ``count`` claim streams a customer's key belongs to."""
+    """Return the index of a customer's key among ``count`` claim streams."""
     return int.from_bytes(key_digest(owner, key)[:8], "big") % count
 
 
--- a/tests/test_claims_actor.py
+++ b/tests/test_claims_actor.py
@@ -1,4 +1,4 @@
-"""The task that claims keys for this VM."""
+"""The actor that claims idempotency keys for this VM."""
 
 import logging
 from collections.abc import Iterator
@@ -21,7 +21,7 @@
 
 
 class ListLog:
-    """Lands each append at once, stamped with the log's time."""
+    """Stores each append immediately, with the log's timestamp."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -56,15 +56,14 @@
 
 
 class TestStart:
-    """What a new VM may judge."""
+    """Decisions of a VM that has just started."""
 
-    def test_a_new_vm_judges_new_keys_at_once_on_a_quiet_stream(
+    def test_a_new_vm_decides_on_new_keys_on_an_idle_stream(
         self,
         log: ListLog,
     ) -> None:
-        # Nobody has used a key for forty minutes, and older claims have expired. A VM
-        # is replaced; each booking that reaches it is told "outcome unknown", because
-        # the VM cannot tell a quiet stream from claims that it did not read.
+        # Guards against a new VM that answers "outcome unknown" because it cannot
+        # distinguish an idle stream from claims that expired unread.
         old = start(log)
         log.append(
             encode_items([Claim("j", "o", "body", "entry-1", "i1", "attempt-0")])
--- a/tests/test_claims_fold.py
+++ b/tests/test_claims_fold.py
@@ -23,7 +23,7 @@
 
 
 class TestClaims:
-    """Who may send."""
+    """Which attempt may send the request of a key."""
 
     def test_the_first_in_log_order_wins(self) -> None:
         table = ClaimTable()
@@ -36,17 +36,17 @@
         assert verdicts == [Verdict.WON, Verdict.WON]
 
     def test_an_attempt_wins_once(self) -> None:
-        # An append whose answer was lost is repeated, and both copies are read.
+        # An append whose response was lost is retried, and both copies are read.
         table = ClaimTable()
         assert apply(table, claim("a"), claim("a")) == [Verdict.WON, Verdict.REPEATED]
 
-    def test_a_key_with_another_body(self) -> None:
+    def test_a_reused_key_with_another_body_is_reported(self) -> None:
         table = ClaimTable()
         apply(table, claim("a"))
         assert apply(table, claim("b", body="x")) == [Verdict.BODY_DIFFERS]
         assert table.lookup("o", "k", "x").state is KeyState.BODY_DIFFERS
 
-    def test_a_release_by_the_winner_alone_frees_the_key(self) -> None:
+    def test_only_a_release_by_the_winner_frees_the_key(self) -> None:
         table = ClaimTable()
         apply(table, claim("a"), claim("b"), Released("k", "o", "b"))
         assert table.lookup("o", "k", "body").attempt_id == "a"
@@ -54,16 +54,15 @@
         assert apply(table, claim("c", body="x")) == [Verdict.WON]
 
     def test_a_late_copy_of_a_released_claim_does_not_win(self) -> None:
-        # Its writer has told the caller "not run" and will never send; were the copy
-        # to win, the caller's repeats would be refused for the whole horizon.
+        # Guards against a key that is blocked for the whole horizon by an attempt
+        # which is never sent.
         table = ClaimTable()
         verdicts = apply(table, claim("a"), Released("k", "o", "a"), claim("a"))
         assert verdicts == [Verdict.WON, Verdict.GIVEN_UP]
         assert apply(table, claim("b")) == [Verdict.WON]
 
-    def test_a_claim_that_lands_after_its_release_does_not_win(self) -> None:
-        # The log hangs; the writer gives up and says so in a later append, which
-        # happens to land first.
+    def test_a_claim_appended_after_its_release_does_not_win(self) -> None:
+        # The log hangs; the writer gives up, and its later append takes effect first.
         table = ClaimTable()
         verdicts = apply(table, Released("k", "o", "a"), claim("a"), claim("b"))
         assert verdicts == [Verdict.GIVEN_UP, Verdict.WON]
@@ -72,8 +71,8 @@
         table = ClaimTable()
         answered = Answered("k", "o", "a", 201)
         apply(table, claim("a"), answered, Released("k", "o", "a"))
-        report = table.lookup("o", "k", "body")
-        assert (report.state, report.status) == (KeyState.ANSWERED, 201)
+        info = table.lookup("o", "k", "body")
+        assert (info.state, info.status) == (KeyState.ANSWERED, 201)
 
     def test_unreadable_items_are_counted(self) -> None:
         table = ClaimTable()
@@ -88,23 +87,23 @@
 
 
 class TestHorizon:
-    """Bounds in time and number."""
+    """Limits of the table in time and size."""
 
-    def test_a_key_is_forgotten_a_horizon_after_its_last_claim(self) -> None:
+    def test_a_key_expires_a_horizon_after_its_last_claim(self) -> None:
         table = ClaimTable(horizon_s=100)
         apply(table, claim("a"), at=0)
         assert apply(table, claim("b"), at=99) == [Verdict.LOST]
         assert apply(table, claim("c"), at=198) == [Verdict.LOST]
         assert apply(table, claim("d"), at=298) == [Verdict.WON]
 
-    def test_a_log_clock_that_is_set_back_forgets_nothing_early(self) -> None:
+    def test_no_key_expires_early_if_the_logs_clock_is_set_back(self) -> None:
         table = ClaimTable(horizon_s=100)
         apply(table, claim("a"), at=1000)
         apply(table, claim("b"), at=10)
         assert apply(table, claim("c"), at=1099) == [Verdict.LOST]
 
-    def test_a_full_table_refuses_and_forgets_nothing(self) -> None:
-        # Forgetting the oldest key to make room would let its repeat run again.
+    def test_a_full_table_refuses_new_keys_and_drops_none(self) -> None:
+        # Guards against a retry that runs again because its key was dropped.
         table = ClaimTable(max_claims=4)
         for owner in "opqr":
             assert apply(table, claim(owner, owner=owner)) == [Verdict.WON]
@@ -118,8 +117,7 @@
         assert apply(table, claim("x", owner="p")) == [Verdict.WON]
 
     def test_after_a_gap_an_unseen_key_is_unknown_for_a_horizon(self) -> None:
-        # A VM starts when older claims have expired on the log. One of them may
-        # have run this key; the VM must not send it.
+        # Guards against sending a request that an expired, unread claim has run.
         table = ClaimTable.after_gap(7, horizon_s=100)
         assert table.lookup("o", "k", "body").state is KeyState.UNKNOWN
         assert apply(table, claim("a"), at=50) == [Verdict.UNKNOWN]
@@ -128,9 +126,9 @@
         assert apply(table, claim("c", key="l"), at=150) == [Verdict.WON]
         assert apply(table, claim("d"), at=151) == [Verdict.UNKNOWN]
 
-    def test_a_full_table_after_a_gap_knows_less_again(self) -> None:
-        # After a gap this table still holds l, which the others refused to claim. It
-        # is full for k, which they do claim; when it has room, it must not run k.
+    def test_a_full_table_after_a_gap_becomes_incomplete_again(self) -> None:
+        # After a gap this table still holds l, which other tables refused. It is full
+        # for k, which they accept; once it has room, it must not run k.
         table = ClaimTable.after_gap(7, horizon_s=100, max_claims=2)
         apply(table, claim("l", key="l"), at=50)
         apply(table, claim("l2", key="l"), at=140)
--- a/tests/test_claims_machine.py
+++ b/tests/test_claims_machine.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of claims: no key is sent twice within the horizon."""
+"""Stateful test of claims: no key is sent twice within the horizon."""
 
 from typing import Any
 
@@ -17,7 +17,7 @@
 NODES = 3
 KEYS = ("a", "b", "c")
 HORIZON_S = 100.0
-# Two keys for each customer, so that tables run full.
+# Two keys per customer, so that tables become full.
 MAX_CLAIMS = 4
 
 nodes = st.integers(0, NODES - 1)
@@ -35,7 +35,7 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Reading lag, late and repeated appends, releases, restarts and gaps."""
+    """Read lag, late and repeated appends, releases, restarts and gaps."""
 
     @initialize()
     def start(self) -> None:
@@ -68,8 +68,8 @@
         writer.group = []
 
     @rule(index=st.integers(0, 9), keep=st.booleans())
-    def land(self, index: int, keep: bool) -> None:
-        """Let an append take effect; kept ones take effect again (repeats)."""
+    def append_one(self, index: int, keep: bool) -> None:
+        """Append a value in flight; a kept one may be appended again."""
         if not self.in_flight:
             return
         index %= len(self.in_flight)
