--- a/bamboovale/claims/answers.py
+++ b/bamboovale/claims/answers.py
@@ -50,7 +50,7 @@
         self._put(attempt_id, answer)
 
     def find(self, attempt_id: str) -> StoredAnswer:
-        """Return an attempt's stored answer; its state is ``UNKNOWN`` if it has none."""
+        """Return an attempt's stored answer, ``UNKNOWN`` if there is none."""
         with self._lock:
             return self._answer_by_attempt.get(
                 attempt_id,
