--- a/bamboovale/membership/__init__.py
+++ b/bamboovale/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which entry VMs and endpoints are live or leaving."""
+"""Membership: which entry VMs and endpoints are live or leaving."""
--- a/bamboovale/membership/actor.py
+++ b/bamboovale/membership/actor.py
@@ -1,9 +1,9 @@
-"""Who is there: the VM list, what peers say of themselves, and who fell silent.
+"""The actor that maintains the membership view and exchanges status with peers.
 
-Every hint interval this VM tells its peers how it is and what its engines look like. At
-today's 6 to 9 entry VMs that is all of them. In a larger fleet a few peers get a turn,
-because all to all does not fit a node's budget for control; there the VM list says who
-is live, and only what was heard and fell silent counts as unreachable.
+Every hint interval this VM sends its status and the hints of its engines to its peers.
+In a small fleet every peer gets each status, and a peer that sends none is
+unreachable. In a large fleet only a few peers get it in each interval, round robin;
+there a listed VM is unreachable only if it was seen before and then sent no status.
 """
 
 import logging
@@ -30,19 +30,18 @@
 from bamboovale.views import ReceivedHint, Views
 
 FANOUT = 12
-"""Peers told each interval; more than today's fleet, so that all hear all."""
+"""Peers that get a status in each interval; with more peers the fleet is large."""
 
 LARGE_FLEET_FANOUT = 4
-"""Peers told each interval where not all can be: at some 430 bytes a notice, half a
-second apart, 3.4 KB a second each way of the 11 that a node may use."""
+"""Peers that get a status in each interval in a large fleet, to bound the traffic."""
 
-SILENT_ROUNDS = 5
-"""Intervals without a word after which a peer counts as unreachable."""
+MAX_MISSED_ROUNDS = 5
+"""Rounds without a status after which a peer is unreachable."""
 
-READ_LIST_EVERY_S = 1.0
+VM_LIST_POLL_INTERVAL_S = 1.0
 
-JUDGEMENT_HOLDS_S = 1.5
-"""Five ticks of this task; a pause that is longer ends what it judged before."""
+READINESS_VALID_S = 1.5
+"""Validity of an evaluation of readiness: it expires if this actor is paused."""
 
 logger = logging.getLogger(__name__)
 
@@ -56,7 +55,7 @@
 
 @dataclass(frozen=True)
 class StatusReceived:
-    """What a peer tells of itself."""
+    """A status that a peer sent."""
 
     from_vm: str
     notice: StatusNotice
@@ -64,21 +63,21 @@
 
 @dataclass(frozen=True)
 class HintUpdated:
-    """A hint about an engine held here."""
+    """A new hint about an engine that this VM holds."""
 
     hint: EngineHint
 
 
 @dataclass(frozen=True)
 class HolderStopped:
-    """An engine is not held here any more."""
+    """This VM no longer holds an engine."""
 
     engine_id: str
 
 
 @dataclass(frozen=True)
 class DrainStarted:
-    """A planned stop of this VM began."""
+    """A planned stop of this VM has started."""
 
 
 @dataclass(frozen=True)
@@ -88,7 +87,7 @@
 
 @dataclass(frozen=True)
 class PeerStatus:
-    """The last word of a peer."""
+    """The last status of a peer and when it was received (monotonic seconds)."""
 
     notice: StatusNotice
     last_seen_at: float
@@ -96,7 +95,7 @@
 
 @dataclass(frozen=True)
 class MembershipCallbacks:
-    """What the keeper tells the rest of the VM, from its own thread."""
+    """Callbacks of the membership actor, called on its thread."""
 
     send: Callable[[str, StatusNotice], None]
     on_change: Callable[[], None]
@@ -107,7 +106,7 @@
 
 
 class VMListReader:
-    """A thread that reads the VM list every second."""
+    """A thread that polls the VM list."""
 
     def __init__(
         self,
@@ -131,7 +130,7 @@
         while not self._stopped.is_set():
             answer = self._client.read()
             self._on_read(answer.ok_value if isinstance(answer, Ok) else None)
-            self._stopped.wait(READ_LIST_EVERY_S)
+            self._stopped.wait(VM_LIST_POLL_INTERVAL_S)
 
 
 class MembershipActor(MessageActor):
@@ -157,8 +156,8 @@
         self._status_by_vm: dict[str, PeerStatus] = {}
         self._own_hint_by_engine: dict[str, EngineHint] = {}
         self._next_status_at = 0.0
-        self._told_last = 0
-        self._seen_log_at = environment.now()
+        self._next_peer = 0
+        self._log_reachable_at = environment.now()
         self.handle(VMListRead, self._on_list)
         self.handle(StatusReceived, self._on_status)
         self.handle(HintUpdated, self._on_hint)
@@ -167,11 +166,11 @@
         self.handle(Tick, self._on_tick)
         self.handle(DumpMembership, self._on_dump)
 
-    # What is learned.
+    # Messages.
 
     def _on_list(self, message: VMListRead) -> None:
         if message.vms is None:
-            return  # the last list stands
+            return  # keep the last list
         self._list_read = True
         before = self._views.membership
         after = before.with_changes(vms=message.vms)
@@ -190,19 +189,19 @@
         incarnations[message.from_vm] = notice.incarnation
         self._views.incarnation_by_vm = incarnations
         for hint in notice.hints:
-            self._take_hint(hint, message.from_vm, now)
+            self._apply_hint(hint, message.from_vm, now)
         if notice.catalogue_next_offset > self._catalogue_next_offset():
             self._callbacks.on_peer_ahead(message.from_vm, notice.catalogue_next_offset)
         flags = (notice.draining, notice.serving)
         if before is None or flags != (before.notice.draining, before.notice.serving):
-            self._judge_peers(now)
+            self._evaluate_peers(now)
 
     def _on_hint(self, message: HintUpdated) -> None:
         hint = message.hint
         self._own_hint_by_engine[hint.engine_id] = hint
-        self._take_hint(hint, self._own_id, self._environment.now())
+        self._apply_hint(hint, self._own_id, self._environment.now())
 
-    def _take_hint(self, hint: EngineHint, from_vm: str, now: float) -> None:
+    def _apply_hint(self, hint: EngineHint, from_vm: str, now: float) -> None:
         known = self._views.hint_by_engine.get(hint.engine_id)
         if known is not None and known.hint.fencing > hint.fencing:
             return
@@ -217,36 +216,36 @@
     def _on_drain(self, _: DrainStarted) -> None:
         self._draining = True
         self._next_status_at = 0.0
-        self._judge_peers(self._environment.now())
+        self._evaluate_peers(self._environment.now())
 
-    # What time brings.
+    # Periodic work.
 
     def _on_tick(self, _: Tick) -> None:
         now = self._environment.now()
-        self._judge_peers(now)
-        self._judge_readiness(now)
+        self._evaluate_peers(now)
+        self._evaluate_readiness(now)
         if now >= self._next_status_at:
             self._next_status_at = now + self._interval_s
-            self._tell_peers()
+            self._send_status()
             self._callbacks.on_interval()
 
-    def _judge_peers(self, now: float) -> None:
-        silent_after_s = SILENT_ROUNDS * self._interval_s * self._rounds_to_hear_all()
-        heard = {
+    def _evaluate_peers(self, now: float) -> None:
+        max_age_s = MAX_MISSED_ROUNDS * self._interval_s * self._intervals_per_round()
+        reachable = {
             vm_id
             for vm_id, peer in self._status_by_vm.items()
-            if now - peer.last_seen_at <= silent_after_s
+            if now - peer.last_seen_at <= max_age_s
         }
         listed = {vm.id for vm in self._views.membership.listed_entry_vms()}
-        silent = listed - heard - {self._own_id}
+        missing = listed - reachable - {self._own_id}
         if self._is_large_fleet():
-            # Most were never heard: a word from each takes a minute and more.
-            silent &= self._status_by_vm.keys()
-        unreachable = frozenset(silent)
-        draining = {vm for vm in heard if self._status_by_vm[vm].notice.draining}
+            # A starting VM has not yet received a status of most peers.
+            missing &= self._status_by_vm.keys()
+        unreachable = frozenset(missing)
+        draining = {vm for vm in reachable if self._status_by_vm[vm].notice.draining}
         if self._draining:
             draining.add(self._own_id)
-        starting = {vm for vm in heard if not self._status_by_vm[vm].notice.serving}
+        starting = {vm for vm in reachable if not self._status_by_vm[vm].notice.serving}
         before = self._views.membership
         after = before.with_changes(
             unreachable_ids=unreachable,
@@ -257,10 +256,10 @@
             return
         self._views.membership = after
         for vm_id in unreachable - before.unreachable_ids:
-            logger.info("entry VM %s fell silent", vm_id)
+            logger.info("entry VM %s is unreachable", vm_id)
             self._callbacks.on_peer_unreachable(vm_id)
         for vm_id in before.unreachable_ids - unreachable:
-            logger.info("entry VM %s is heard", vm_id)
+            logger.info("entry VM %s is reachable", vm_id)
         self._callbacks.on_change()
 
     def _peers(self) -> int:
@@ -272,13 +271,13 @@
     def _fanout(self) -> int:
         return LARGE_FLEET_FANOUT if self._is_large_fleet() else FANOUT
 
-    def _rounds_to_hear_all(self) -> int:
+    def _intervals_per_round(self) -> int:
         return -(-self._peers() // self._fanout())
 
-    def _judge_readiness(self, now: float) -> None:
+    def _evaluate_readiness(self, now: float) -> None:
         reachable = self._health.reachable
         if reachable:
-            self._seen_log_at = now
+            self._log_reachable_at = now
         membership = self._views.membership
         reports = [
             PeerReport(
@@ -293,13 +292,13 @@
         inputs = ReadinessInputs(
             catalogue_whole=self._views.catalogue is not None,
             list_read=self._list_read,
-            log_silent_s=now - self._seen_log_at,
+            log_silent_s=now - self._log_reachable_at,
             catalogue_next_offset=self._catalogue_next_offset(),
             other_entry_vms=len(membership.listed_entry_vms())
             - (self._own_id in membership.vm_by_id),
             peers=tuple(reports),
         )
-        until = now + JUDGEMENT_HOLDS_S
+        until = now + READINESS_VALID_S
         down = not reachable and log_is_down(inputs)
         self._views.log_down_until = until if down else now
         serving = may_serve(inputs)
@@ -313,14 +312,14 @@
         catalogue = self._views.catalogue
         return 0 if catalogue is None else catalogue.next_offset
 
-    def _tell_peers(self) -> None:
+    def _send_status(self) -> None:
         listed = sorted(vm.id for vm in self._views.membership.listed_entry_vms())
         peers = [vm_id for vm_id in listed if vm_id != self._own_id]
         if not peers:
             return
-        start = self._told_last % len(peers)
-        turn = (peers[start:] + peers[:start])[: self._fanout()]
-        self._told_last = start + len(turn)
+        start = self._next_peer % len(peers)
+        recipients = (peers[start:] + peers[:start])[: self._fanout()]
+        self._next_peer = start + len(recipients)
         catalogue = self._views.catalogue
         notice = StatusNotice(
             incarnation=self._environment.incarnation,
@@ -331,7 +330,7 @@
             catalogue_next_offset=self._catalogue_next_offset(),
             hints=tuple(self._own_hint_by_engine.values()),
         )
-        for vm_id in turn:
+        for vm_id in recipients:
             self._callbacks.send(vm_id, notice)
 
     def _on_dump(self, _: DumpMembership) -> dict[str, Any]:
@@ -360,6 +359,6 @@
     return ", ".join(f"{name} {ids}" for name, ids in parts if ids) or "changed"
 
 
-def vm_list_callback(keeper: Any) -> Callable[[tuple[VM, ...] | None], None]:
-    """Return the callback that hands the list to the keeper."""
-    return lambda vms: tell(keeper, VMListRead(vms))
+def vm_list_callback(actor: Any) -> Callable[[tuple[VM, ...] | None], None]:
+    """Return a callback that sends the VM list to the membership actor."""
+    return lambda vms: tell(actor, VMListRead(vms))
--- a/bamboovale/membership/view.py
+++ b/bamboovale/membership/view.py
@@ -1,4 +1,4 @@
-"""Which VMs are live or leaving, as one entry VM knows it."""
+"""One entry VM's view of which VMs are live or leaving."""
 
 from collections.abc import Iterable
 
@@ -6,11 +6,11 @@
 
 
 class Membership:
-    """An immutable view, made anew from each reading of the VM list.
+    """An immutable view of the VM list and of the peers' states.
 
-    ``draining_ids`` are entry VMs that told their peers of a planned stop before the
-    list showed it; ``unreachable_ids`` are entry VMs that are not heard, and
-    ``starting_ids`` those that are heard and do not serve (yet).
+    ``draining_ids`` are entry VMs that announced a planned stop to their peers,
+    possibly before the list shows it; ``unreachable_ids`` are entry VMs that send no
+    status, and ``starting_ids`` are reachable ones that do not serve yet.
     """
 
     def __init__(
@@ -26,15 +26,15 @@
         self.starting_ids = starting_ids
 
     def states(self) -> tuple[frozenset[str], ...]:
-        """Return what is known beyond the list."""
+        """Return the draining, unreachable and starting ids."""
         return self.draining_ids, self.unreachable_ids, self.starting_ids
 
     def listed_entry_vms(self) -> list[VM]:
-        """Return every entry VM of the list, leaving or not."""
+        """Return every entry VM in the list, leaving or not."""
         return [vm for vm in self.vm_by_id.values() if vm.kind is VMKind.ENTRY]
 
     def usable_entry_vms(self) -> list[VM]:
-        """Return the entry VMs that callers and leases may be sent to."""
+        """Return the entry VMs that may get callers and leases."""
         return [
             vm
             for vm in self.listed_entry_vms()
@@ -45,11 +45,11 @@
         ]
 
     def runners(self) -> list[VM]:
-        """Return every runner of the list; a leaving one still needs its holder."""
+        """Return every runner in the list; a leaving one still needs a holder."""
         return [vm for vm in self.vm_by_id.values() if vm.kind is VMKind.RUNNER]
 
     def live_endpoints(self, pool: str) -> list[VM]:
-        """Return the endpoints of a pool that may receive new work."""
+        """Return the endpoints of a pool that may receive new requests."""
         return [
             vm
             for vm in self.vm_by_id.values()
@@ -57,7 +57,7 @@
         ]
 
     def is_leaving(self, vm_id: str) -> bool:
-        """Tell whether a VM is leaving or no longer listed."""
+        """Return whether a VM is leaving or no longer listed."""
         vm = self.vm_by_id.get(vm_id)
         return vm is None or vm.state is VMState.LEAVING
 
@@ -75,7 +75,7 @@
         unreachable_ids: frozenset[str] | None = None,
         starting_ids: frozenset[str] | None = None,
     ) -> "Membership":
-        """Return a view with some parts replaced."""
+        """Return a copy with the given parts replaced."""
         return Membership(
             self.vm_by_id.values() if vms is None else vms,
             self.draining_ids if draining_ids is None else draining_ids,
--- a/bamboovale/membership/vm_list.py
+++ b/bamboovale/membership/vm_list.py
@@ -1,4 +1,4 @@
-"""Client of the platform's VM list, which shows live and leaving VMs with a lag."""
+"""Client of the platform's VM list, which shows live and leaving VMs with a delay."""
 
 import json
 from typing import Any
@@ -28,7 +28,7 @@
 
 
 class VMListClient:
-    """Reads the VM list."""
+    """Reads the VM list with conditional requests."""
 
     def __init__(self, url: str, http: HttpClient) -> None:
         parts = urlsplit(url)
@@ -39,10 +39,10 @@
         self._last: tuple[VM, ...] = ()
 
     def read(self) -> Result[tuple[VM, ...], str]:
-        """Return every VM of the list, or the reason why it could not be read.
+        """Return every VM in the list, or the reason why it could not be read.
 
-        Read on condition that it has changed (RFC 9110, section 13.1.2): a list of a
-        thousand VMs read whole each second is 173 KiB a second for each entry VM.
+        The request is conditional (RFC 9110, section 13.1.2), so that an unchanged
+        list is not transferred again.
         """
         headers = {"If-None-Match": self._etag} if self._etag else {}
         try:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The VM list and what peers say of themselves."""
+"""The VM list and the status of peers."""
 
 import logging
 import urllib.request
@@ -32,7 +32,7 @@
 
 
 class Fleet:
-    """One membership keeper among so many entry VMs."""
+    """One membership actor in a fleet of ``entry_vms`` entry VMs."""
 
     def __init__(self, entry_vms: int) -> None:
         self.now = 100.0
@@ -44,7 +44,7 @@
             logging.getLogger("test"),
             now=lambda: self.now,
         )
-        self.keeper = MembershipActor.start(
+        self.actor = MembershipActor.start(
             environment,
             self.views,
             LogHealth(lambda: self.now),
@@ -60,15 +60,15 @@
         vms = tuple(
             VM(f"e{number}", VMKind.ENTRY, "127.0.0.1") for number in range(entry_vms)
         )
-        self.keeper.ask(VMListRead(vms))
+        self.actor.ask(VMListRead(vms))
 
-    def hear(self, vm_id: str, **more: Any) -> None:
+    def receive_status(self, vm_id: str, **more: Any) -> None:
         notice = StatusNotice("i1", False, True, True, 0, 0, ())
-        self.keeper.ask(StatusReceived(vm_id, notice))
+        self.actor.ask(StatusReceived(vm_id, notice))
 
     def tick(self, seconds: float) -> None:
         self.now += seconds
-        self.keeper.ask(Tick())
+        self.actor.ask(Tick())
 
     def usable(self) -> set[str]:
         return {vm.id for vm in self.views.membership.usable_entry_vms()}
@@ -81,42 +81,42 @@
 
 
 class TestSmallFleet:
-    """All hear all; who is silent is not used."""
+    """Every peer gets every status; a peer that sends none is not used."""
 
-    def test_a_peer_is_used_once_heard_and_until_silent(self) -> None:
+    def test_a_peer_is_used_while_it_sends_its_status(self) -> None:
         fleet = Fleet(3)
         fleet.tick(0.1)
         assert fleet.usable() == {"e0"}
-        fleet.hear("e1")
+        fleet.receive_status("e1")
         assert fleet.usable() == {"e0", "e1"}
         fleet.tick(10.0)
         assert fleet.usable() == {"e0"}
 
-    def test_every_peer_is_told(self) -> None:
+    def test_every_peer_gets_the_status(self) -> None:
         fleet = Fleet(FANOUT)
         fleet.tick(1.0)
         assert len(set(fleet.sent_to)) == FANOUT - 1
 
 
 class TestLargeFleet:
-    """Few are told at a time, and the VM list says who is live.
+    """A few peers get the status in each interval; the VM list says who is live.
 
-    Of 380 entry VMs one that has just started hears eight a second. Counting only
-    those it has heard, it would rank itself first for every engine.
+    Guards against a VM that has just started, has seen few peers, and ranks itself
+    first for every engine.
     """
 
-    def test_a_peer_never_heard_is_used(self) -> None:
+    def test_a_peer_never_seen_is_used(self) -> None:
         fleet = Fleet(40)
         fleet.tick(0.1)
         assert len(fleet.usable()) == 40
 
-    def test_a_peer_that_fell_silent_is_not(self) -> None:
+    def test_a_peer_that_stopped_sending_is_not_used(self) -> None:
         fleet = Fleet(40)
-        fleet.hear("e7")
+        fleet.receive_status("e7")
         fleet.tick(300.0)
         assert fleet.usable() == {f"e{number}" for number in range(40)} - {"e7"}
 
-    def test_a_few_are_told_in_turn(self) -> None:
+    def test_a_few_peers_get_the_status_round_robin(self) -> None:
         fleet = Fleet(40)
         fleet.tick(1.0)
         assert len(fleet.sent_to) == LARGE_FLEET_FANOUT
@@ -125,7 +125,7 @@
 
 
 class TestVMListClient:
-    """Reading the list."""
+    """Conditional reads of the VM list."""
 
     def test_an_unchanged_list_is_not_sent_again(self) -> None:
         row = b'{"kind": "entry", "address": "127.0.0.1"}'
