--- a/bamboovale/log_service/__init__.py
+++ b/bamboovale/log_service/__init__.py
@@ -1,1 +1,1 @@
-"""Client of the append-only log service of the product's own interface."""
+"""Client of the platform's append-only log service."""
--- a/bamboovale/log_service/appender.py
+++ b/bamboovale/log_service/appender.py
@@ -1,4 +1,4 @@
-"""Appends to the log off the callers' threads, and counts how they ended."""
+"""Appends to the log on background threads, with metrics of their outcomes."""
 
 from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
@@ -10,7 +10,7 @@
 from bamboovale.log_service.log_client import LogClient, LogFailure
 
 APPEND_THREADS = 2
-"""One slow append does not hold up the next renewal."""
+"""More than one, so that a slow append does not delay the next one."""
 
 
 class Appender:
@@ -35,7 +35,7 @@
         value: Any,
         on_end: Callable[[Result[int, LogFailure]], None] | None = None,
     ) -> None:
-        """Append soon; ``on_end`` is called from the appending thread."""
+        """Queue an append; ``on_end`` is called on the appending thread."""
         self._executor.submit(self._append, value, on_end)
 
     def append_now(self, value: Any) -> Result[int, LogFailure]:
@@ -48,7 +48,7 @@
         return result
 
     def stop(self) -> None:
-        """Append what is queued, then end."""
+        """Stop after the queued appends."""
         self._executor.shutdown(wait=True)
 
     def _append(
--- a/bamboovale/log_service/follower.py
+++ b/bamboovale/log_service/follower.py
@@ -1,4 +1,4 @@
-"""Follows one stream of the log and hands what it reads to the stream's owner."""
+"""Follows a stream of the log and passes its records to a callback."""
 
 import threading
 from collections.abc import Callable
@@ -12,50 +12,52 @@
     RecordBatch,
 )
 
-WAIT_S = 2.0
-"""Length of one long poll; an idle stream costs one call in two seconds."""
+LONG_POLL_S = 2.0
 
-SHORTEST_BACKOFF_S = 0.1
-LONGEST_BACKOFF_S = 1.0
-"""A log that is back is found again within a second."""
+MIN_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 1.0
+"""Bounds how long a recovered log is not noticed."""
 
-SILENT_AFTER_S = 3.0
-"""Without a successful read for this long the log counts as unreachable from here:
-a long poll and its slack have passed."""
+UNREACHABLE_AFTER_S = 3.0
+"""Without a successful read for this long the log is unreachable from this VM; longer
+than a long poll."""
 
 
 class LogHealth:
-    """When the log last answered; shared by the followers of all streams."""
+    """When the log last answered; shared by the followers of all streams.
+
+    Times are on the monotonic clock ``now``.
+    """
 
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
-        self._answered_at = float("-inf")
+        self._last_success_at = float("-inf")
         self._recovered_at = float("-inf")
 
     def on_success(self) -> None:
-        """Note a successful read."""
+        """Record a successful read."""
         now = self._now()
-        if now - self._answered_at > SILENT_AFTER_S:
+        if now - self._last_success_at > UNREACHABLE_AFTER_S:
             self._recovered_at = now
-        self._answered_at = now
+        self._last_success_at = now
 
     @property
     def reachable(self) -> bool:
-        """Tell whether the log answered lately."""
-        return self._now() - self._answered_at <= SILENT_AFTER_S
+        """Return whether the log answered recently."""
+        return self._now() - self._last_success_at <= UNREACHABLE_AFTER_S
 
     @property
     def recovered_at(self) -> float:
-        """Return the end of the last silence."""
+        """Return when the log was last reachable again after an outage."""
         return self._recovered_at
 
 
 class StreamFollower:
-    """A thread that reads a stream for ever, from its beginning.
+    """A thread that reads a stream continuously, from its beginning.
 
-    With ``max_backlog`` it begins at most that many records before the stream's end.
-    ``pace_s`` is a pause after each read that brought records: on a stream to which
-    every entry VM appends, each append would otherwise cost every VM a call.
+    With ``max_backlog`` it starts at most that many records before the stream's end.
+    ``pace_s`` is a pause after each read that returned records, so that reads are
+    batched: otherwise each append of any entry VM would cost every VM a call.
     ``limit`` bounds the records of one read.
     """
 
@@ -95,39 +97,42 @@
         self._stopped.set()
 
     def seek(self, offset: int) -> None:
-        """Read on from another offset: what lies before came from a snapshot."""
+        """Continue reading at another offset."""
         self._next = offset
 
     def _run(self) -> None:
-        backoff_s = SHORTEST_BACKOFF_S
+        backoff_s = MIN_BACKOFF_S
         reads = self._environment.metrics.log_reads
         while not self._stopped.is_set():
             answer = self._log.read(
                 self._stream,
                 self._next,
-                WAIT_S,
+                LONG_POLL_S,
                 self._limit,
             )
             if isinstance(answer, Ok):
                 reads.labels(stream=self._stream, outcome="ok").inc()
-                backoff_s = SHORTEST_BACKOFF_S
-                self._take(answer.ok_value)
+                backoff_s = MIN_BACKOFF_S
+                self._on_read(answer.ok_value)
                 if answer.ok_value.records:
                     self._stopped.wait(self._pace_s)
                 continue
             reads.labels(stream=self._stream, outcome="failed").inc()
             self._stopped.wait(backoff_s)
-            backoff_s = min(2 * backoff_s, LONGEST_BACKOFF_S)
+            backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
 
     def _skip_to_start(self, batch: RecordBatch) -> bool:
-        """Skip what lies too far behind, once; the batch is then not handed on."""
+        """Skip records beyond the maximum backlog, once; return True if any.
+
+        The batch must then be discarded.
+        """
         behind, self._max_backlog = self._max_backlog, None
         if behind is None or batch.end - behind <= batch.first:
             return False
         self._next = batch.end - behind
         return True
 
-    def _take(self, batch: RecordBatch) -> None:
+    def _on_read(self, batch: RecordBatch) -> None:
         self._health.on_success()
         if self._skip_to_start(batch):
             return
--- a/bamboovale/log_service/log_client.py
+++ b/bamboovale/log_service/log_client.py
@@ -1,7 +1,7 @@
 """Client of the platform's append-only log service.
 
-An append has three outcomes, and only two are known: appended, refused, or *unknown*
-(no answer: it may have taken effect). Callers settle the unknown by reading back.
+An append has three outcomes: appended, refused, or *unknown* (no response: it may have
+taken effect). Callers resolve an unknown outcome by reading the stream.
 """
 
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class LogRecord:
-    """One record as read back; ``time`` is the log's own wall clock at the append."""
+    """One record of a stream; ``time`` is the log's wall clock at the append."""
 
     offset: int
     value: Any
@@ -29,10 +29,10 @@
 
 @dataclass(frozen=True)
 class RecordBatch:
-    """Records read at once.
+    """Records returned by one read.
 
-    ``first`` is the oldest offset that the log still keeps, ``end`` the offset that its
-    next append will get: the stream goes on behind a batch that ends before it.
+    ``first`` is the oldest offset that the log retains, ``end`` the offset of its next
+    append: a batch that ends before it is not the end of the stream.
     """
 
     stream: str
@@ -43,9 +43,9 @@
 
 @dataclass(frozen=True)
 class LogFailure:
-    """A call on the log service that brought no answer or a refusal.
+    """A call to the log service that failed or was refused.
 
-    ``may_have_taken_effect`` is False only where nothing can have been appended.
+    ``may_have_taken_effect`` is False only if certainly nothing was appended.
     """
 
     reason: str
@@ -62,7 +62,7 @@
         self._http = http
 
     def append(self, stream: str, value: Any) -> Result[int, LogFailure]:
-        """Append one record; return its offset, which is not yet read back."""
+        """Append one record; return its offset."""
         try:
             status, answer = self._http.request_json(
                 "POST",
@@ -90,7 +90,7 @@
         wait_s: float,
         limit: int = MAX_RECORDS_PER_READ,
     ) -> Result[RecordBatch, LogFailure]:
-        """Read records from ``start`` on, waiting up to ``wait_s`` for the first."""
+        """Read records from ``start`` on; wait up to ``wait_s`` for the first one."""
         path = (
             f"/streams/{stream}/records?from={start}&limit={limit}"
             f"&wait_ms={int(wait_s * 1000)}"
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -1,4 +1,4 @@
-"""Following a stream of the log."""
+"""The follower of a log stream."""
 
 import logging
 import threading
@@ -14,16 +14,16 @@
 
 
 class BusyLog:
-    """A stream that has one new record at every read, at once."""
+    """A stream that gets a new record every millisecond."""
 
     def __init__(self) -> None:
         self.reads = 0
-        self.began_at = time.monotonic()
+        self.started_at = time.monotonic()
 
     def read(self, stream: str, start: int, wait_s: float, limit: int) -> Ok:
         self.reads += 1
         self.limit = limit
-        end = int((time.monotonic() - self.began_at) * 1000) + 1
+        end = int((time.monotonic() - self.started_at) * 1000) + 1
         records = tuple(LogRecord(offset, {}) for offset in range(start, end))
         if not records:
             time.sleep(0.001)
@@ -31,18 +31,15 @@
 
 
 class TestPace:
-    """Many VMs append to a stream that all of them read."""
+    """The pause after each read of a busy stream."""
 
     def test_a_busy_stream_is_read_in_batches_without_losing_any(self) -> None:
-        """Hundreds of VMs renew leases, each renewal wakes each reader.
-
-        Without a pause every VM makes a call for each append of all of them.
-        """
+        """Guards against one call per append on a stream that many VMs append to."""
         log = BusyLog()
         seen: list[int] = []
         enough = threading.Event()
 
-        def take(batch: RecordBatch, read_at: float) -> None:
+        def on_batch(batch: RecordBatch, read_at: float) -> None:
             seen.extend(record.offset for record in batch.records)
             if len(seen) >= 500:
                 enough.set()
@@ -53,7 +50,7 @@
             log,
             LogHealth(time.monotonic),
             "leases",
-            take,
+            on_batch,
             pace_s=0.1,
             limit=250,
         )
@@ -65,8 +62,8 @@
         assert seen == list(range(len(seen)))
 
 
-class Slow(MessageActor):
-    """Takes a while over each message."""
+class SlowActor(MessageActor):
+    """An actor that handles each message slowly."""
 
     def __init__(self) -> None:
         super().__init__(lambda: None)
@@ -77,22 +74,18 @@
 
 
 class TestHandOver:
-    """A follower that reads quicker than its records are folded."""
+    """A follower that reads faster than its records are folded."""
 
     def test_it_waits_for_the_actor(self) -> None:
-        """A VM starts and reads 17 large edits at once.
-
-        Parsed, they would wait in the actor's mailbox together, at several times
-        their size, while it folds the first.
-        """
-        actor = Slow.start()
-        began = time.monotonic()
+        """Guards against many parsed records queued in the actor's mailbox."""
+        actor = SlowActor.start()
+        started = time.monotonic()
         for _ in range(3):
             hand_over(actor, "edit")
-        assert time.monotonic() - began >= 0.15
+        assert time.monotonic() - started >= 0.15
         actor.stop()
 
     def test_a_stopped_actor_ends_the_wait(self) -> None:
-        actor = Slow.start()
+        actor = SlowActor.start()
         actor.stop()
         hand_over(actor, "edit")
--- a/tests/test_log_client.py
+++ b/tests/test_log_client.py
@@ -1,4 +1,4 @@
-"""The log client against the stand-in of the log."""
+"""The log client against the stand-in for the log service."""
 
 from bamboovale.http_client import HttpClient
 from bamboovale.log_service.log_client import MAX_RECORDS_PER_READ, LogClient
@@ -7,11 +7,10 @@
 
 
 class TestRead:
-    """What a read tells of the stream."""
+    """Reading a stream."""
 
-    def test_a_full_batch_does_not_look_like_the_end(self) -> None:
-        # A VM starts on a stream that is longer than one answer. It takes the first
-        # five hundred edits for all and serves half a catalogue, the older half.
+    def test_a_full_batch_is_not_the_end_of_the_stream(self) -> None:
+        # Guards against a starting VM that serves a partly read catalogue.
         with running(log.create_server("127.0.0.1:0", appends_per_s=10_000)) as url:
             client = LogClient(url, HttpClient("127.0.0.1"))
             for number in range(MAX_RECORDS_PER_READ + 1):
