--- a/bamboovale/admin/edits.py
+++ b/bamboovale/admin/edits.py
@@ -108,7 +108,7 @@
 
 
 def _read_list(reader: FieldReader, field: str) -> Sequence[Any]:
-    value = reader.take(field)
+    value = reader.pop(field)
     if value is None:
         return ()
     if not isinstance(value, list):
--- a/bamboovale/catalogue/edits.py
+++ b/bamboovale/catalogue/edits.py
@@ -126,7 +126,7 @@
     reader = FieldReader(value, "")
     if reader.findings:
         return Err(reader.findings)
-    if reader.take("type") != EDIT_TYPE:
+    if reader.pop("type") != EDIT_TYPE:
         reader.add("type", f"must be {EDIT_TYPE}")
     edit_id = reader.text("edit_id", pattern=EDIT_ID)
     author = reader.text("author", pattern=AUTHOR)
@@ -139,7 +139,7 @@
 
 
 def _parse_changes(reader: FieldReader) -> tuple[Change, ...]:
-    rows = reader.take("changes")
+    rows = reader.pop("changes")
     if not isinstance(rows, list) or not rows:
         reader.add("changes", "must be a list of at least one change")
         return ()
@@ -159,7 +159,7 @@
     if reader.findings:
         return Err(reader.findings)
     action = Action(reader.choice("action", tuple(Action), Action.SET))
-    raw_kind = reader.take("kind")
+    raw_kind = reader.pop("kind")
     if raw_kind not in tuple(Kind):
         reader.add("kind", f"must be one of {', '.join(Kind)}")
     name = reader.text("name")
@@ -174,7 +174,7 @@
 
 
 def _read_base_revision(reader: FieldReader) -> int | None:
-    value = reader.take("base_revision")
+    value = reader.pop("base_revision")
     if value is None:
         return None
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
@@ -184,7 +184,7 @@
 
 
 def _read_entry(reader: FieldReader, action: Action) -> Entry | None:
-    data = reader.take("entry")
+    data = reader.pop("entry")
     if action is Action.DELETE:
         if data is not None:
             reader.add("entry", "must be null in a deletion")
--- a/bamboovale/catalogue/entries.py
+++ b/bamboovale/catalogue/entries.py
@@ -171,7 +171,7 @@
     reader = FieldReader(data, place)
     if reader.findings:
         return Err(reader.findings)
-    kind = reader.take("kind")
+    kind = reader.pop("kind")
     if kind == Kind.ADAPTER:
         entry: Entry = _read_adapter(reader, revision)
     elif kind == Kind.POOL:
@@ -244,7 +244,7 @@
 
 
 def _read_limits(reader: FieldReader, work_class: WorkClass) -> Limits:
-    data = reader.take("limits")
+    data = reader.pop("limits")
     limits_reader = FieldReader(
         {} if data is None else data,
         reader.place_of("limits"),
--- a/bamboovale/catalogue/fields.py
+++ b/bamboovale/catalogue/fields.py
@@ -34,7 +34,7 @@
         """Record a finding about a field."""
         self.findings.append(Finding(self.place_of(field), message))
 
-    def take(self, field: str) -> Any:
+    def pop(self, field: str) -> Any:
         """Remove and return the raw value of a field, None if absent."""
         return self._unread.pop(field, None)
 
@@ -46,7 +46,7 @@
         default: str | None = None,
     ) -> str:
         """Read a string that fully matches the pattern."""
-        value = self.take(field)
+        value = self.pop(field)
         if value is None and default is not None:
             return default
         if value is None:
@@ -61,7 +61,7 @@
 
     def choice(self, field: str, choices: tuple[str, ...], default: str) -> str:
         """Read one of a fixed set of strings."""
-        value = self.take(field)
+        value = self.pop(field)
         if value is None:
             return default
         if not isinstance(value, str) or value not in choices:
@@ -71,7 +71,7 @@
 
     def flag(self, field: str, default: bool) -> bool:
         """Read a boolean."""
-        value = self.take(field)
+        value = self.pop(field)
         if value is None:
             return default
         if not isinstance(value, bool):
@@ -81,7 +81,7 @@
 
     def integer(self, field: str, *, default: int, low: int, high: int) -> int:
         """Read an integer from ``low`` to ``high``, both included."""
-        value = self.take(field)
+        value = self.pop(field)
         if value is None:
             return default
         if isinstance(value, bool) or not isinstance(value, int):
@@ -94,7 +94,7 @@
 
     def number(self, field: str, *, default: float, low: float, high: float) -> float:
         """Read a finite number from ``low`` to ``high``, both included."""
-        value = self.take(field)
+        value = self.pop(field)
         if value is None:
             return default
         if isinstance(value, bool) or not isinstance(value, int | float):
