--- a/bamboovale/leases/actor.py
+++ b/bamboovale/leases/actor.py
@@ -16,7 +16,7 @@
     Moved,
     Renewed,
 )
-from bamboovale.leases.hand_over import HandOvers
+from bamboovale.leases.hand_over import HandOverPlanner
 from bamboovale.leases.messages import (
     LEASE_STREAM,
     WEIGHT_STORE,
@@ -90,7 +90,7 @@
         self._assignment = LeaseAssignment()
         self._first_seen_at: dict[str, float] = {}
         self._take_sent_at: dict[str, float] = {}
-        self._hand_overs = HandOvers(settings.id)
+        self._hand_overs = HandOverPlanner(settings.id)
         self._next_renewal_at = 0.0
         self._renewals_in_flight = 0
         self._next_snapshot_at = 0.0
@@ -142,7 +142,7 @@
         self._fold(tuple(item for item in records if item.offset >= first), read_at)
 
     def _reset_if_due(self, now: float) -> None:
-        """Append a reset if no VM has a lease table and no lease can be valid."""
+        """Append a reset once no lease can be valid, if no snapshot was found."""
         recovery = self._recovery
         rank = self._rank(WEIGHT_STORE, None)
         if recovery is None or rank is None or not self._health.reachable:
@@ -344,7 +344,7 @@
     def _hand_over_one(self, now: float) -> None:
         """Hand over at most one lease to the VM that ranks first for it."""
         incarnation_by_vm = self._views.incarnation_by_vm
-        move = self._hand_overs.next(
+        move = self._hand_overs.next_move(
             self._own.held_by_engine,
             self._ranking,
             incarnation_by_vm,
@@ -413,7 +413,7 @@
         a higher fencing number.
         """
         if self._views.log_down_for_all:
-            for held in self._hand_overs.take_unknown():
+            for held in self._hand_overs.pop_unknown():
                 self._restore(held)
 
     def _restore(self, held: HeldLease) -> None:
--- a/bamboovale/leases/hand_over.py
+++ b/bamboovale/leases/hand_over.py
@@ -12,7 +12,7 @@
 """Spaces out hand-overs: each interrupts the adapter loads of its engine."""
 
 
-class HandOvers:
+class HandOverPlanner:
     """Chooses the leases that one VM hands over; times on the monotonic clock.
 
     Also remembers releases with an unknown outcome.
@@ -24,7 +24,7 @@
         self._next_at = 0.0
         self._unknown_by_engine: dict[str, HeldLease] = {}
 
-    def next(
+    def next_move(
         self,
         held: Mapping[str, HeldLease],
         ranking: Callable[[str], Sequence[str]],
@@ -56,7 +56,7 @@
         """Forget unknown releases: their outcomes are read from the log."""
         self._unknown_by_engine.clear()
 
-    def take_unknown(self) -> list[HeldLease]:
+    def pop_unknown(self) -> list[HeldLease]:
         """Return and forget the leases whose release had no response."""
         unknown = list(self._unknown_by_engine.values())
         self._unknown_by_engine.clear()
