--- a/bamboovale/catalogue/rules.py
+++ b/bamboovale/catalogue/rules.py
@@ -43,15 +43,15 @@
 def validate_changes(changes: Sequence[Change], index: EntryIndex) -> list[Finding]:
     """Return the findings about the catalogue as it would be after the changes."""
     staged = StagedEntries(changes, index)
-    findings = list(_repeated(changes))
+    findings = list(_duplicate_findings(changes))
     for place, change in enumerate(changes):
         prefix = f"changes[{place}]"
         if change.action is Action.DELETE:
-            findings.extend(_faults_of_deletion(prefix, change, staged))
+            findings.extend(_deletion_findings(prefix, change, staged))
         elif isinstance(change.entry, AdapterEntry):
-            findings.extend(_faults_of_adapter(prefix, change.entry, staged))
+            findings.extend(_adapter_findings(prefix, change.entry, staged))
         elif isinstance(change.entry, PoolEntry):
-            findings.extend(_faults_of_pool(prefix, change.entry, staged))
+            findings.extend(_pool_findings(prefix, change.entry, staged))
         if len(findings) > MAX_FINDINGS:
             break
     return findings[:MAX_FINDINGS]
@@ -89,7 +89,7 @@
                 yield entry
 
 
-def _repeated(changes: Sequence[Change]) -> Iterator[Finding]:
+def _duplicate_findings(changes: Sequence[Change]) -> Iterator[Finding]:
     seen = set()
     for place, change in enumerate(changes):
         key = (change.kind, change.name)
@@ -101,7 +101,7 @@
         seen.add(key)
 
 
-def _faults_of_deletion(
+def _deletion_findings(
     prefix: str,
     change: Change,
     staged: StagedEntries,
@@ -113,7 +113,7 @@
             yield Finding(prefix, f"adapter {entry.name} is still in the pool")
 
 
-def _faults_of_adapter(
+def _adapter_findings(
     prefix: str,
     entry: AdapterEntry,
     staged: StagedEntries,
@@ -148,7 +148,7 @@
             return
 
 
-def _faults_of_pool(
+def _pool_findings(
     prefix: str,
     entry: PoolEntry,
     staged: StagedEntries,
--- a/bamboovale/membership/actor.py
+++ b/bamboovale/membership/actor.py
@@ -262,17 +262,17 @@
             logger.info("entry VM %s is reachable", vm_id)
         self._callbacks.on_change()
 
-    def _peers(self) -> int:
+    def _peer_count(self) -> int:
         return max(1, len(self._views.membership.listed_entry_vms()) - 1)
 
     def _is_large_fleet(self) -> bool:
-        return self._peers() > FANOUT
+        return self._peer_count() > FANOUT
 
     def _fanout(self) -> int:
         return LARGE_FLEET_FANOUT if self._is_large_fleet() else FANOUT
 
     def _intervals_per_round(self) -> int:
-        return -(-self._peers() // self._fanout())
+        return -(-self._peer_count() // self._fanout())
 
     def _evaluate_readiness(self, now: float) -> None:
         reachable = self._health.reachable
--- a/tests/test_catalogue_fold.py
+++ b/tests/test_catalogue_fold.py
@@ -25,7 +25,7 @@
     "pool": "tutor-llm",
     "owner": "agency-1",
 }
-OTHER = {"source": "elsewhere"}
+OTHER_SOURCE = {"source": "elsewhere"}
 
 
 def change(entry: dict[str, Any], base: int | None = None) -> dict[str, Any]:
@@ -230,7 +230,7 @@
             ([deletion("pool", "tutor-llm")], "changes[0]"),
             ([deletion("adapter", "nobody")], "changes[0]"),
             ([change(ADAPTER), change(ADAPTER)], "changes[1]"),
-            ([change(ADAPTER | OTHER)], "changes[0].entry.version"),
+            ([change(ADAPTER | OTHER_SOURCE)], "changes[0].entry.version"),
             (
                 [
                     change(
@@ -256,7 +256,7 @@
             edit("00000001", change(POOL), change(ADAPTER)),
             edit("00000002", deletion("adapter", "summaries")),
         )
-        outcome = catalogue.apply(2, edit("00000003", change(ADAPTER | OTHER)))
+        outcome = catalogue.apply(2, edit("00000003", change(ADAPTER | OTHER_SOURCE)))
         assert outcome is not None
         assert outcome.reason is RejectionReason.INVALID
 
