--- a/bamboovale/catalogue/actor.py
+++ b/bamboovale/catalogue/actor.py
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True)
 class DumpCatalogue:
-    """Ask for the state as JSON."""
+    """Request the state dump of the actor as JSON."""
 
 
 @dataclass(frozen=True)
--- a/bamboovale/catalogue/rules.py
+++ b/bamboovale/catalogue/rules.py
@@ -44,8 +44,8 @@
     """Return the findings about the catalogue as it would be after the changes."""
     staged = StagedEntries(changes, index)
     findings = list(_duplicate_findings(changes))
-    for place, change in enumerate(changes):
-        prefix = f"changes[{place}]"
+    for position, change in enumerate(changes):
+        prefix = f"changes[{position}]"
         if change.action is Action.DELETE:
             findings.extend(_deletion_findings(prefix, change, staged))
         elif isinstance(change.entry, AdapterEntry):
@@ -91,11 +91,11 @@
 
 def _duplicate_findings(changes: Sequence[Change]) -> Iterator[Finding]:
     seen = set()
-    for place, change in enumerate(changes):
+    for position, change in enumerate(changes):
         key = (change.kind, change.name)
         if key in seen:
             yield Finding(
-                f"changes[{place}]",
+                f"changes[{position}]",
                 f"{change.kind} {change.name} is changed twice in one edit",
             )
         seen.add(key)
--- a/bamboovale/claims/actor.py
+++ b/bamboovale/claims/actor.py
@@ -19,9 +19,9 @@
 """Keeps a group commit well below the log's record size limit."""
 
 IDLE_APPEND_S = 10.0
-"""Once or twice this time without records, one VM appends an empty group. Without
-these timestamps a new VM on an idle stream could not tell how far back the retained
-records reach, and would answer ``outcome_unknown`` to new keys for a whole horizon."""
+"""After one to two times this long without records, one VM appends an empty group.
+Without these timestamps a new VM on an idle stream would not know how far back the
+retained records reach, and answer ``outcome_unknown`` to new keys for a horizon."""
 
 
 @dataclass(frozen=True)
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True)
 class DumpClaims:
-    """Ask for the state as JSON."""
+    """Request the state dump of the actor as JSON."""
 
 
 class ClaimActor(MessageActor):
--- a/bamboovale/leases/messages.py
+++ b/bamboovale/leases/messages.py
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class DumpLeases:
-    """Ask for the state as JSON."""
+    """Request the state dump of the actor as JSON."""
 
 
 def node_name(vm_id: str, incarnation: str) -> str:
--- a/bamboovale/membership/actor.py
+++ b/bamboovale/membership/actor.py
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True)
 class DumpMembership:
-    """Ask for the state as JSON."""
+    """Request the state dump of the actor as JSON."""
 
 
 @dataclass(frozen=True)
