--- a/bamboovale/fleet/__init__.py
+++ b/bamboovale/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Who the entry VMs are and how news spreads among them; pure, without sockets."""
+"""Membership of the entry VMs and the gossip among them; pure, without sockets."""
--- a/bamboovale/fleet/changes.py
+++ b/bamboovale/fleet/changes.py
@@ -1,4 +1,4 @@
-"""What has changed since a neighbour was last told, in the order it changed here."""
+"""A log of changes, read from where the last message to a neighbour ended."""
 
 from collections.abc import Hashable, Iterator
 from typing import Generic, TypeVar
@@ -7,10 +7,10 @@
 
 
 class ChangeLog(Generic[Item]):
-    """The newest item of each key; a change moves its key to the end.
+    """The newest item of each key, ordered by their last change.
 
-    Each change gets the next number, so that a reader needs to keep only the number of
-    the last change it was told: nothing is kept for each reader and change.
+    Changes are numbered, so that a reader keeps only the number of the last change
+    that it has received.
     """
 
     def __init__(self) -> None:
@@ -18,19 +18,19 @@
         self._entry_by_key: dict[Hashable, tuple[int, Item]] = {}
 
     def put(self, key: Hashable, item: Item) -> None:
-        """Note a new item of the key."""
+        """Set the newest item of a key and move the key to the end."""
         self._entry_by_key.pop(key, None)
         self.last += 1
         self._entry_by_key[key] = (self.last, item)
 
     def drop(self, key: Hashable) -> None:
-        """Forget the key."""
+        """Remove a key."""
         self._entry_by_key.pop(key, None)
 
-    def after(self, number: int, most: int) -> tuple[list[Item], int]:
-        """Return what changed after a change, and the number to go on from.
+    def after(self, number: int, limit: int) -> tuple[list[Item], int]:
+        """Return the changes after ``number`` and the number to continue from.
 
-        The oldest come first, ``most`` at once.
+        At most ``limit`` changes are returned, oldest first.
         """
         if number >= self.last:
             return [], self.last
@@ -39,10 +39,10 @@
             if numbered[0] <= number:
                 break
             newest_first.append(numbered)
-        chosen = newest_first[::-1][:most]
+        chosen = newest_first[::-1][:limit]
         is_all = len(chosen) == len(newest_first)
-        told = self.last if is_all else chosen[-1][0]
-        return [item for _, item in chosen], told
+        last_returned = self.last if is_all else chosen[-1][0]
+        return [item for _, item in chosen], last_returned
 
     def __iter__(self) -> Iterator[Item]:
         return (item for _, item in self._entry_by_key.values())
--- a/bamboovale/fleet/messages.py
+++ b/bamboovale/fleet/messages.py
@@ -1,4 +1,4 @@
-"""What entry VMs pass on to their neighbours."""
+"""Gossip messages between entry VMs."""
 
 from dataclasses import dataclass
 
@@ -8,12 +8,12 @@
 @row
 @dataclass(frozen=True)
 class Member:
-    """An entry VM, as it tells of itself.
+    """The record that an entry VM publishes about itself.
 
-    ``start`` orders the starts under one id, ``revision`` what is told in one start.
-    ``refuted`` counts how often this start was said to be unheard and contradicted it.
-    ``owned`` are the engines it owns, each with the fencing number of its orders;
-    ``cores`` is its share of processor time, ``busy`` that this is used up.
+    ``start`` orders the starts under one id, ``revision`` the records within a start.
+    ``refuted`` counts the suspicions of this start that the VM has refuted. ``owned``
+    are the engines it owns, each with the fencing number of its orders. ``cores`` is
+    its share of processor time, ``busy`` whether this is used up.
     """
 
     vm_id: str
@@ -31,16 +31,17 @@
     busy: bool = False
 
     def replaces(self, other: "Member") -> bool:
-        """Tell whether this is the later word of the same VM."""
+        """Return whether this record of the same VM is newer."""
         return (self.start, self.revision) > (other.start, other.revision)
 
 
 @row
 @dataclass(frozen=True)
 class Suspicion:
-    """An observer's word that a VM has fallen silent.
+    """An observer's suspicion that a VM has failed.
 
-    Void once the VM has started anew or refuted more than ``refuted`` such words.
+    It is stale once the VM has restarted or has refuted more than ``refuted``
+    suspicions.
     """
 
     observer: str
@@ -59,20 +60,20 @@
 
 
 TopicRow = tuple[str, bytes | None, int]
-"""A record of a topic: key, value (None: the key is gone) and offset."""
+"""A record of a topic: key, value (None: the key was removed) and offset."""
 
 
 @message("gossip")
 @dataclass(frozen=True)
 class Gossip:
-    """One message to a neighbour: signs of life, and what it may not know yet.
-
-    ``digest`` sums up the sender's view of who lives. ``store_count`` rises when any VM
-    has had an answer of the store, as far as the sender knows, ``settled_count`` when
-    the store was settled for that VM besides. ``rows`` are the records of the
-    endpoints' topic that changed something between ``first_offset`` and
-    ``next_offset``. ``watches`` asks the receiver for signs of life for a while,
-    ``wants_all`` once for everything it knows of the fleet.
+    """A heartbeat to a neighbour with the updates that it may not have yet.
+
+    ``digest`` is a checksum of the sender's view of the live VMs. ``store_count``
+    increases when the store has answered any VM, as far as the sender knows,
+    ``settled_count`` when that VM also considers the store settled. ``rows`` are the
+    records of the endpoints' topic that changed state between ``first_offset`` and
+    ``next_offset``. ``watches`` requests heartbeats from the receiver for a while,
+    ``wants_all`` a full copy of its view of the fleet.
     """
 
     digest: int
--- a/bamboovale/fleet/rings.py
+++ b/bamboovale/fleet/rings.py
@@ -1,9 +1,9 @@
-"""Which VMs are neighbours: a bounded number each, the same in every VM's eyes.
+"""The overlay of neighbours: bounded in degree and computed alike by every VM.
 
-All VMs stand on a few rings, on each in another pseudo-random order; each watches the
-next behind it and is watched by the one before it (as in Rapid: Suresh et al., "Stable
-and Consistent Membership at Scale with Rapid", 2018). News goes both ways. Between any
-two VMs there are few steps, and the graph stays connected when a large part is gone.
+All VMs are placed on a few rings, on each in another pseudo-random order. A VM watches
+its successor on each ring and is watched by its predecessor (as in Rapid: Suresh et
+al., "Stable and Consistent Membership at Scale with Rapid", 2018). Gossip goes both
+ways. The graph has a small diameter and stays connected when many VMs fail.
 """
 
 import hashlib
@@ -11,12 +11,12 @@
 from collections.abc import Callable, Iterable
 
 RINGS = 3
-ALL_LINKED_UP_TO = 10
-"""VMs that are all neighbours of one another: few links, and news takes one step."""
+FULL_MESH_MAX_VMS = 10
+"""Up to this size all VMs are neighbours of one another (full mesh)."""
 
 
 class Rings:
-    """The orders of a changing set of VMs."""
+    """The VMs of the fleet in the order of each ring."""
 
     def __init__(self) -> None:
         self._members: set[str] = set()
@@ -32,7 +32,7 @@
         return iter(self._members)
 
     def add(self, vm_id: str) -> None:
-        """Put a VM on every ring."""
+        """Add a VM to every ring."""
         if vm_id in self._members:
             return
         self._members.add(vm_id)
@@ -40,7 +40,7 @@
             insort(ring, (_position(number, vm_id), vm_id))
 
     def remove(self, vm_id: str) -> None:
-        """Take a VM off every ring."""
+        """Remove a VM from every ring."""
         if vm_id not in self._members:
             return
         self._members.remove(vm_id)
@@ -50,35 +50,35 @@
     def watched_by(
         self,
         vm_id: str,
-        passes_over: Callable[[str], bool] = lambda vm_id: False,
+        is_excluded: Callable[[str], bool] = lambda vm_id: False,
         width: int = 1,
     ) -> set[str]:
-        """Return the next ``width`` VMs behind one on each ring."""
-        return self._next(vm_id, 1, passes_over, width)
+        """Return the VMs that a VM watches: ``width`` successors on each ring."""
+        return self._next(vm_id, 1, is_excluded, width)
 
     def neighbours(
         self,
         vm_id: str,
-        passes_over: Callable[[str], bool] = lambda vm_id: False,
+        is_excluded: Callable[[str], bool] = lambda vm_id: False,
         width: int = 1,
     ) -> set[str]:
-        """Return the next ``width`` VMs on either side of one on each ring."""
-        behind = self._next(vm_id, 1, passes_over, width)
-        return behind | self._next(vm_id, -1, passes_over, width)
+        """Return ``width`` successors and predecessors of a VM on each ring."""
+        successors = self._next(vm_id, 1, is_excluded, width)
+        return successors | self._next(vm_id, -1, is_excluded, width)
 
     def _next(
         self,
         vm_id: str,
         step: int,
-        passes_over: Callable[[str], bool],
+        is_excluded: Callable[[str], bool],
         width: int,
     ) -> set[str]:
-        if len(self._members) <= ALL_LINKED_UP_TO:
-            return {v for v in self._members if v != vm_id and not passes_over(v)}
+        if len(self._members) <= FULL_MESH_MAX_VMS:
+            return {v for v in self._members if v != vm_id and not is_excluded(v)}
         found: set[str] = set()
         for number, ring in enumerate(self._rings):
             at = bisect_left(ring, (_position(number, vm_id), vm_id))
-            found.update(_next_on(ring, at, step, passes_over, width))
+            found.update(_next_on(ring, at, step, is_excluded, width))
         return found - {vm_id}
 
 
@@ -86,13 +86,13 @@
     ring: list[tuple[bytes, str]],
     at: int,
     step: int,
-    passes_over: Callable[[str], bool],
+    is_excluded: Callable[[str], bool],
     width: int,
 ) -> list[str]:
     found: list[str] = []
     for distance in range(1, len(ring)):
         vm_id = ring[(at + step * distance) % len(ring)][1]
-        if not passes_over(vm_id):
+        if not is_excluded(vm_id):
             found.append(vm_id)
         if len(found) == width:
             break
--- a/bamboovale/fleet/subscriptions.py
+++ b/bamboovale/fleet/subscriptions.py
@@ -1,80 +1,84 @@
-"""Which VMs an owner tells of its engines, and how often.
+"""Subscriptions of entry VMs to the engine statuses that owners publish.
 
-Load pattern: hundreds of entry VMs choose among hundreds of engines whose load changes
-with every request. Told to all, it costs messages with the number of VMs times that of
-owners, most of them to VMs that carry no request. A VM that carries some asks each
-owner now and then; whoever has stopped asking is told nothing.
+Engine load changes with every request, and sending it from every owner to every VM
+would cost messages quadratic in the size of the fleet. A VM that carries requests
+subscribes to each owner and renews its subscriptions; others receive nothing.
 """
 
-LAPSE_S = 5.0
-"""A VM that has not asked for so long carries no requests any more."""
-RENEW_S = 2.0
-"""Between two asks of one VM, so that one that is lost ends nothing."""
-IDLE_S = 10.0
-"""A VM that carried no request for so long stops asking."""
+SUBSCRIPTION_TTL_S = 5.0
+"""A subscription that is not renewed for this long expires."""
+RENEWAL_INTERVAL_S = 2.0
+"""Short enough that one lost renewal does not end a subscription."""
+INACTIVE_AFTER_S = 10.0
+"""A VM without requests for this long stops renewing its subscriptions."""
 STATUS_INTERVAL_S = 0.3
 STATUSES_PER_S = 60.0
-"""Most that one owner sends; with more listeners each is told less often."""
+"""Limit for one owner; the interval grows with the number of subscribers."""
 LOADS_INTERVAL_S = 0.1
-"""Between two words on how busy engines are: VMs choose by it, and told less often
-they send several loads too many to the engine that looked idle."""
+"""Subscribers that know the load only from longer ago overload an engine that was
+idle then."""
 LOADS_PER_S = 200.0
+"""Limit for one owner, as ``STATUSES_PER_S``."""
 
 
 class Subscriptions:
-    """The VMs that have asked of late; no sockets, no clock."""
+    """The VMs that subscribe to this owner's engines; no sockets, no clock."""
 
     def __init__(self) -> None:
-        self._asked_at: dict[str, float] = {}
+        self._renewed_at: dict[str, float] = {}
 
     def renew(self, vm_id: str, now: float) -> bool:
-        """Note that a VM asks; True if it was not told anything of late."""
-        before = self._asked_at.get(vm_id)
-        self._asked_at[vm_id] = now
-        return before is None or now - before > LAPSE_S
+        """Add or renew a VM's subscription; True if it had none or it had expired."""
+        before = self._renewed_at.get(vm_id)
+        self._renewed_at[vm_id] = now
+        return before is None or now - before > SUBSCRIPTION_TTL_S
 
     def subscribers(self, now: float) -> list[str]:
-        """Return whom to tell."""
-        for vm_id, asked_at in list(self._asked_at.items()):
-            if now - asked_at > LAPSE_S:
-                del self._asked_at[vm_id]
-        return list(self._asked_at)
+        """Return the subscribed VMs and remove expired subscriptions."""
+        for vm_id, renewed_at in list(self._renewed_at.items()):
+            if now - renewed_at > SUBSCRIPTION_TTL_S:
+                del self._renewed_at[vm_id]
+        return list(self._renewed_at)
 
     def status_interval_s(self) -> float:
-        """Return the time between two full statuses."""
-        return max(STATUS_INTERVAL_S, len(self._asked_at) / STATUSES_PER_S)
+        """Return the time between two full engine statuses."""
+        return max(STATUS_INTERVAL_S, len(self._renewed_at) / STATUSES_PER_S)
 
     def loads_interval_s(self) -> float:
-        """Return the time between two words on how busy engines are."""
-        return max(LOADS_INTERVAL_S, len(self._asked_at) / LOADS_PER_S)
+        """Return the time between two messages with the load of engines."""
+        return max(LOADS_INTERVAL_S, len(self._renewed_at) / LOADS_PER_S)
 
 
 class Subscriber:
-    """Which owners this VM asks to be told of their engines; no sockets, no clock."""
+    """This VM's subscriptions to owners of engines; no sockets, no clock."""
 
     def __init__(self) -> None:
-        self._needed_at = -IDLE_S
-        self._asked_at: dict[str, float] = {}
+        self._last_request_at = -INACTIVE_AFTER_S
+        self._renewed_at: dict[str, float] = {}
 
     def note_request(self, now: float) -> bool:
-        """Note that a request needs an engine; True if nothing was asked for before."""
+        """Note that a request needs an engine; True if this VM was inactive."""
         was_idle = not self.is_active(now)
-        self._needed_at = now
+        self._last_request_at = now
         return was_idle
 
     def note_renewal(self, owner: str, now: float) -> None:
-        """Note a message that the owner takes for asking."""
-        self._asked_at[owner] = now
+        """Note a message that the owner treats as a renewal."""
+        self._renewed_at[owner] = now
 
     def is_active(self, now: float) -> bool:
-        """Tell whether this VM chooses engines."""
-        return now - self._needed_at < IDLE_S
+        """Return whether this VM has had a request recently."""
+        return now - self._last_request_at < INACTIVE_AFTER_S
 
     def due_renewals(self, owners: set[str], now: float) -> list[str]:
-        """Return the owners to ask now, and note that they are asked."""
-        for owner in self._asked_at.keys() - owners:
-            del self._asked_at[owner]
-        due = [o for o in owners if now - self._asked_at.get(o, -RENEW_S) >= RENEW_S]
+        """Return the owners to send a renewal to, and note them as renewed."""
+        for owner in self._renewed_at.keys() - owners:
+            del self._renewed_at[owner]
+        due = [
+            o
+            for o in owners
+            if now - self._renewed_at.get(o, -RENEWAL_INTERVAL_S) >= RENEWAL_INTERVAL_S
+        ]
         for owner in due:
-            self._asked_at[owner] = now
+            self._renewed_at[owner] = now
         return due
--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -101,7 +101,7 @@
             on_suspect=crashes.on_notice,
             on_store_answer=state.store_watch.on_answer,
             on_settled=state.store_watch.on_settled,
-            cut_link=links.abort,
+            abort_link=links.abort,
         )
 
     def tell(self) -> None:
--- a/tests/fleet_play.py
+++ b/tests/fleet_play.py
@@ -84,7 +84,7 @@
         changes: ChangeLog[Change] = ChangeLog()
         membership = Membership(own, changes)
         topic = PlayedTopic()
-        topic.changes.begin(0)
+        topic.changes.reset(0)
         rng = random.Random(self.rng.random())
         exchange = GossipProtocol(membership, changes, topic, rng, self.now)
         vm = PlayedVM(vm_id, membership, exchange, topic)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,13 +13,18 @@
 )
 
 from bamboovale.fleet.changes import ChangeLog
-from bamboovale.fleet.gossip import MOST_ITEMS, WATCH_RENEWAL_S
-from bamboovale.fleet.membership import FORGET_S, MOST_MEMBERS, Change, Membership
+from bamboovale.fleet.gossip import MAX_ITEMS, WATCH_RENEWAL_S
+from bamboovale.fleet.membership import FORGET_AFTER_S, MAX_MEMBERS, Change, Membership
 from bamboovale.fleet.messages import Gossip, Member, SuspectRequest, Suspicion
-from bamboovale.fleet.neighbours import BLOCK_S, INTERVAL_S, WORDS_BEFORE_BLOCK
-from bamboovale.fleet.rings import ALL_LINKED_UP_TO, RINGS, Rings
-from bamboovale.fleet.subscriptions import IDLE_S, LAPSE_S, Subscriber, Subscriptions
-from bamboovale.fleet.topic_changes import MOST_ROWS, TopicChanges
+from bamboovale.fleet.neighbours import BLOCK_S, INTERVAL_S, SUSPICIONS_BEFORE_BLOCK
+from bamboovale.fleet.rings import FULL_MESH_MAX_VMS, RINGS, Rings
+from bamboovale.fleet.subscriptions import (
+    INACTIVE_AFTER_S,
+    SUBSCRIPTION_TTL_S,
+    Subscriber,
+    Subscriptions,
+)
+from bamboovale.fleet.topic_changes import MAX_ROWS, TopicChanges
 from tests import fleet_play
 from tests.fleet_play import PlayedFleet, PlayedVM
 
@@ -76,9 +81,9 @@
 
     def test_a_small_fleet_is_linked_all_to_all(self) -> None:
         rings = Rings()
-        for number in range(ALL_LINKED_UP_TO):
+        for number in range(FULL_MESH_MAX_VMS):
             rings.add(f"vm{number}")
-        assert len(rings.neighbours("vm0")) == ALL_LINKED_UP_TO - 1
+        assert len(rings.neighbours("vm0")) == FULL_MESH_MAX_VMS - 1
 
     def test_what_is_passed_over_is_replaced_by_the_next(self) -> None:
         rings = Rings()
@@ -119,7 +124,7 @@
 
     def test_nothing_is_said_to_have_changed_from_long_ago_on(self) -> None:
         changes = TopicChanges()
-        changes.begin(10)
+        changes.reset(10)
         changes.advance(50, [("a", b"1", 20), ("b", b"1", 30)])
         assert changes.rows_from(25) == (21, [("b", b"1", 30)])
         assert changes.rows_from(31) == (31, [])
@@ -131,11 +136,11 @@
         Taken for all of it, an endpoint that left meanwhile would get work for ever.
         """
         changes = TopicChanges()
-        changes.begin(0)
-        rows = [(f"k{number}", b"", number) for number in range(MOST_ROWS + 5)]
-        changes.advance(MOST_ROWS + 5, rows)
+        changes.reset(0)
+        rows = [(f"k{number}", b"", number) for number in range(MAX_ROWS + 5)]
+        changes.advance(MAX_ROWS + 5, rows)
         first, kept = changes.rows_from(0)
-        assert first == 5 and len(kept) == MOST_ROWS
+        assert first == 5 and len(kept) == MAX_ROWS
 
 
 class TestMembership:
@@ -205,16 +210,16 @@
     def test_what_a_message_can_add_is_bounded(self) -> None:
         """A member claims thousands of others that do not exist."""
         view = membership()
-        for number in range(MOST_MEMBERS + 100):
+        for number in range(MAX_MEMBERS + 100):
             view.apply(member(f"vm{number}"), 0.0)
             view.on_contact(f"contact{number}", ("10.0.0.1", 1), 0.0)
-        assert len(view.live()) + len(view.not_live()) <= MOST_MEMBERS
+        assert len(view.live()) + len(view.not_live()) <= MAX_MEMBERS
 
     def test_a_vm_that_is_out_for_long_is_forgotten(self) -> None:
         view = membership("a", "b", "c")
         for observer in "bc":
             view.apply_suspicion(Suspicion(observer, "a", 1, 0), 1.0)
-        view.forget(1.0 + FORGET_S)
+        view.forget(1.0 + FORGET_AFTER_S)
         assert view.member("a") is None
         assert view.apply(member("a", start=2), 99.0)
 
@@ -266,7 +271,7 @@
 
     def test_no_message_is_larger_than_its_bound(self) -> None:
         fleet = started(LARGE)
-        assert fleet.largest <= MOST_ITEMS + 1
+        assert fleet.largest <= MAX_ITEMS + 1
 
     def test_a_changed_endpoint_is_known_everywhere(self) -> None:
         """An endpoint says that it leaves; one VM reads it in the store."""
@@ -384,7 +389,7 @@
         fleet.passes = lambda a, b: (a, b) != ("vm5", observer)
         fleet.run(60.0)
         rounds = 1 + 60.0 / BLOCK_S
-        assert vm.membership.own.refuted <= WORDS_BEFORE_BLOCK * rounds
+        assert vm.membership.own.refuted <= SUSPICIONS_BEFORE_BLOCK * rounds
 
     def test_a_vm_that_overslept_blames_nobody(self) -> None:
         """A process is stopped for seconds while its clock goes on, and wakes up.
@@ -421,7 +426,7 @@
         silent = {(a, b) for a in fleet.vm_by_id for b in fleet.vm_by_id}
         fleet.passes = lambda a, b: (a, b) not in silent
         for vm in _vms(fleet):
-            vm.exchange.neighbours._cut_link = _opens_anew(silent, vm.vm_id)
+            vm.exchange.neighbours._abort_link = _opens_anew(silent, vm.vm_id)
         for _ in range(30):
             fleet.run(0.1)
             assert fleet.agree(fleet.vm_by_id)
@@ -520,8 +525,8 @@
         assert subscriptions.renew("a", 0.0)
         assert not subscriptions.renew("a", 2.0)
         assert subscriptions.renew("b", 4.0)
-        assert subscriptions.subscribers(LAPSE_S + 3.0) == ["b"]
-        assert subscriptions.renew("a", LAPSE_S + 4.0)
+        assert subscriptions.subscribers(SUBSCRIPTION_TTL_S + 3.0) == ["b"]
+        assert subscriptions.renew("a", SUBSCRIPTION_TTL_S + 4.0)
 
     def test_more_listeners_are_told_less_often(self) -> None:
         subscriptions = Subscriptions()
@@ -541,7 +546,7 @@
         assert interest.due_renewals({"a", "b"}, 102.0) == []
         assert interest.due_renewals({"a", "b", "c"}, 102.5) == ["c"]
         assert set(interest.due_renewals({"a", "b"}, 103.1)) == {"a", "b"}
-        assert not interest.is_active(101.0 + IDLE_S)
+        assert not interest.is_active(101.0 + INACTIVE_AFTER_S)
 
 
 NAMES = [f"vm{number}" for number in range(14)]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -706,7 +706,7 @@
         status, it would send requests past the owners meanwhile.
         """
         monkeypatch.setattr(neighbours, "SMALL_INTERVAL_S", 30.0)
-        monkeypatch.setattr(neighbours, "MISSED", 0.0)
+        monkeypatch.setattr(neighbours, "SILENT_AFTER", 0.0)
 
         async def test() -> None:
             async with running_site(vms=2, runners=3) as site:
