--- a/bamboovale/platform/__init__.py
+++ b/bamboovale/platform/__init__.py
@@ -1,4 +1,5 @@
-"""The users' platform: its names, formats and calls, translated into our types.
+"""Translation between the users' platform and the types of the gateway.
 
-Nothing here decides. Nothing outside this folder knows these names.
+Names, formats and calls of the platform are used in this package only. It holds no
+decision logic.
 """
--- a/bamboovale/platform/configuration.py
+++ b/bamboovale/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's records in the store: the configuration and adapter versions."""
+"""Decoding of the operator's records: configuration and adapter versions."""
 
 import json
 from collections.abc import Mapping
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class AdapterVersion:
-    """The newest version of an adapter (``adapter`` None: of the model itself)."""
+    """The newest version of an adapter, or of the model if ``adapter`` is None."""
 
     model: str
     adapter: str | None
@@ -33,7 +33,7 @@
 
 
 def decode_routing_table(source: bytes) -> RoutingTable:
-    """Read a whole configuration; raises BadRecordError."""
+    """Decode the configuration; raises BadRecordError."""
     try:
         document = json.loads(source)
         return RoutingTable.from_routes(
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True)
 class _VersionEntry:
-    """The record of a new version; ``adapter`` empty for the model itself."""
+    """The record of a new version; without ``adapter`` it is one of the model."""
 
     model: str
     version: int
@@ -118,6 +118,6 @@
 
 
 def decode_adapter_version(source: bytes) -> AdapterVersion:
-    """Read the record of a new version; raises BadRecordError."""
+    """Decode the record of a new version; raises BadRecordError."""
     entry = decode(source, _VersionEntry, "adapter version")
     return AdapterVersion(entry.model, entry.adapter or None, entry.version)
--- a/bamboovale/platform/directory.py
+++ b/bamboovale/platform/directory.py
@@ -1,4 +1,4 @@
-"""The calls that ask where to connect and whether an entry VM is ready."""
+"""Directory queries (which addresses to connect to) and readiness queries."""
 
 import json
 from collections.abc import Iterable
@@ -7,20 +7,20 @@
 
 from bamboovale.platform import names
 
-MOST_ADDRESSES = 64
-"""What a caller takes of one answer."""
+MAX_ADDRESSES = 64
+"""Addresses that a caller reads from one answer."""
 
 
 @dataclass(frozen=True)
 class DirectoryQuery:
-    """A caller's question; its place decides which addresses come first."""
+    """A caller's query; its location decides which addresses come first."""
 
     region: str
     failure_domain: str
 
 
 def decode_query(target: str) -> DirectoryQuery | None:
-    """Read the question; None if the call is another one."""
+    """Decode a directory query; None if the target is another path."""
     parts = urlsplit(target)
     if parts.path != names.RESOLVE_PATH:
         return None
@@ -32,11 +32,11 @@
 
 
 def encode_addresses(addresses: Iterable[tuple[str, int]], ttl_s: float) -> bytes:
-    """Return the answer's body."""
+    """Return the body of the answer, with its time to live in seconds."""
     listed = [f"{host}:{port}" for host, port in addresses]
     return json.dumps({"addrs": listed, "ttl-s": ttl_s}).encode()
 
 
 def is_readiness_query(target: str) -> bool:
-    """Tell whether the call asks for readiness."""
+    """Return whether the target is the readiness path."""
     return urlsplit(target).path == names.READY_PATH
--- a/bamboovale/platform/endpoints.py
+++ b/bamboovale/platform/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints' records in the store, and engines' reports and orders."""
+"""Endpoint records of the store, and reports and orders of engines."""
 
 import ipaddress
 import json
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class _ModelEntry:
-    """A loaded base model; ``adapters`` as NAME@VERSION."""
+    """A loaded base model; ``adapters`` are written NAME@VERSION."""
 
     name: str
     version: int = 1
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class _EndpointEntry:
-    """An endpoint's record; ``remaining_ms`` only where it leaves at short notice."""
+    """An endpoint's record; ``remaining_ms`` is set when it leaves at short notice."""
 
     service: str
     addr: str
@@ -58,7 +58,10 @@
 
 @dataclass(frozen=True)
 class _ReportEntry:
-    """An engine's report; ``runs`` begin with a request's id, ``seq`` counts orders."""
+    """An engine's report; a row of ``runs`` starts with the request id.
+
+    ``seq`` counts the orders that the engine has executed.
+    """
 
     models: tuple[_ModelEntry, ...] = ()
     loading: tuple[str, ...] = ()
@@ -74,16 +77,16 @@
 
 
 def decode_endpoint(registered_id: str, source: bytes) -> EndpointRecord:
-    """Read an endpoint's record; raises BadRecordError."""
+    """Decode an endpoint's record; raises BadRecordError."""
     what = f"endpoint {registered_id}"
     entry = decode(source, _EndpointEntry, what)
     address = _decode_address(entry.addr)
     if address is None:
-        raise BadRecordError(f"{what}: no address @ $.addr")
+        raise BadRecordError(f"{what}: not an IPv4 address with a port @ $.addr")
     if entry.state not in STATES:
         raise BadRecordError(f"{what}: unknown state @ $.state")
     if not entry.service or entry.slots < 1:
-        raise BadRecordError(f"{what}: no service or no slots")
+        raise BadRecordError(f"{what}: service is empty or slots is below 1")
     remaining_ms = entry.remaining_ms
     return EndpointRecord(
         registered_id=registered_id,
@@ -99,7 +102,7 @@
 
 
 def _decode_address(text: str) -> tuple[str, int] | None:
-    """Return host and port of an IPv4 address with a port; None if it is none."""
+    """Return host and port of IPV4:PORT, None if it is malformed."""
     try:
         address = parse_address(text)
         if address is None or not 0 < address[1] < 65536:
@@ -122,7 +125,7 @@
 
 
 def _adapter(text: str, what: str) -> tuple[str, int]:
-    """Split NAME@VERSION."""
+    """Split NAME@VERSION; the version is 1 if it is missing."""
     name, _, version = text.partition("@")
     if not name or (version and not version.isdecimal()):
         raise BadRecordError(f"{what}: malformed adapter {text!r}")
@@ -130,7 +133,7 @@
 
 
 def decode_report(body: bytes) -> EngineReport:
-    """Read an engine's report; raises BadRecordError."""
+    """Decode an engine's report; raises BadRecordError."""
     entry = decode(body, _ReportEntry, "report")
     return EngineReport(
         models=_models(entry.models, "report"),
@@ -145,13 +148,13 @@
 
 
 def _loading(text: str) -> tuple[str, str]:
-    """Split MODEL/NAME@VERSION."""
+    """Return model and adapter name of MODEL/NAME@VERSION."""
     model, _, rest = text.partition("/")
     return model, _adapter(rest, "report")[0]
 
 
 def report_request(registered_id: str, host: str) -> h11.Request:
-    """Return the call for an engine's report."""
+    """Return the HTTP request for an engine's report."""
     return h11.Request(
         method="GET",
         target=names.REPORT_PATH,
@@ -168,7 +171,7 @@
     fence: int,
     expected_orders: int | None,
 ) -> tuple[h11.Request, bytes]:
-    """Return the call that gives an order, and its body."""
+    """Return the HTTP request that gives an order, and its body."""
     document: dict[str, Any] = {
         "op": "load" if order.load else "unload",
         "model": order.model,
--- a/bamboovale/platform/names.py
+++ b/bamboovale/platform/names.py
@@ -1,10 +1,10 @@
-"""Names on the platform's wire. Nothing outside this folder uses them."""
+"""Paths, headers and topics of the platform. Only this package uses them."""
 
-# Calls that arrive here.
+# Paths that this process serves.
 READY_PATH = "/api/readyz"
 RESOLVE_PATH = "/api/resolve"
 
-# Headers of callers that say what a request is; they pass on unchanged.
+# Headers with which callers describe a request; they are forwarded unchanged.
 REQUEST_ID = b"x-request-id"
 MODEL = b"x-model"
 TOKEN_COUNT = b"x-token-count"
@@ -13,7 +13,7 @@
 LAST_EVENT_ID = b"last-event-id"
 DEADLINE = b"x-deadline-ms"
 
-# Headers that only the system may set.
+# Headers that only the serving layer may set.
 EXPECT_INSTANCE = b"x-expect-instance"
 EXPECT_VERSION = b"x-expect-version"
 URGENCY = b"x-request-urgency"
@@ -25,19 +25,19 @@
 RETRY_AFTER = b"retry-after"
 CONTENT_LENGTH = b"content-length"
 
-# Engine calls.
+# Paths of engines.
 REPORT_PATH = "/api/report"
 ORDER_PATH = "/api/order"
 
 # Topics of the store.
 OPERATOR_TOPIC = "keyed.op"
 SERVERS_TOPIC = "keyed.servers"
-ENTRIES_TOPIC = "keyed.entries"  # our own: where other entry VMs find this one
+ENTRIES_TOPIC = "keyed.entries"  # addresses of the entry VMs
 CONFIG_KEY = "config"
 VERSION_PREFIX = "version/"
 
-# A caller's own values for these would be taken for ours: a hold or a KV source that
-# does not exist makes an endpoint refuse the request.
+# Endpoints would treat a caller's values as ours: a hold or a KV source that does not
+# exist makes an endpoint refuse the request.
 CALLER_MAY_NOT_SET = frozenset(
     {
         EXPECT_INSTANCE,
--- a/bamboovale/platform/node_file.py
+++ b/bamboovale/platform/node_file.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform lays down for each process (TOML)."""
+"""The settings file that the platform provides for each process (TOML)."""
 
 import tomllib
 from collections.abc import Mapping
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class StoreLimits:
-    """What the metadata store takes; times in seconds."""
+    """Limits of the metadata store; times in seconds."""
 
     partitions: int
     writes_per_s: float
@@ -27,10 +27,10 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """The promises in figures; times in seconds.
+    """Bounds that the platform guarantees or requires; times in seconds.
 
     ``engines_check_fencing`` tells whether an engine refuses an older fencing number.
-    ``lease_s`` is the least time between orders of two holders.
+    ``lease_s`` is the minimum time between orders of two holders.
     """
 
     drain_s: float
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class NodeSettings:
-    """What one process is told about itself and the platform."""
+    """Settings of one process: its identity, addresses and limits."""
 
     name: str
     ip: str
@@ -68,7 +68,7 @@
 
     @classmethod
     def from_file(cls, path: Path) -> "Result[NodeSettings, list[Finding]]":
-        """Read and check the file; every finding is reported at once."""
+        """Read and validate the file; all findings are returned together."""
         try:
             document = tomllib.loads(path.read_text("utf-8"))
         except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
@@ -80,7 +80,7 @@
         cls,
         document: Mapping[str, Any],
     ) -> "Result[NodeSettings, list[Finding]]":
-        """Check a parsed file; unknown fields are ignored."""
+        """Validate a parsed file; unknown fields are ignored."""
         reader = _Reader(document)
         ports = reader.get("port-range", list) or [0, 0]
         bounds = _read_bounds(reader.table("bounds"))
@@ -129,24 +129,24 @@
 
 
 class _Reader:
-    """Reads fields of a table and collects what is wrong with their place."""
+    """Reads fields of a table and collects findings with the path of each field."""
 
     def __init__(
         self,
         document: Mapping[str, Any],
-        place: str = "",
+        prefix: str = "",
         findings: list[Finding] | None = None,
     ) -> None:
         self.document = document
         self.findings: list[Finding] = [] if findings is None else findings
-        self._place = place
+        self._prefix = prefix
 
     def table(self, name: str) -> "_Reader":
         value = self.document.get(name, {})
         if not isinstance(value, dict):
             self._find(name, "must be a table")
             value = {}
-        return _Reader(value, f"{self._place}{name}.", self.findings)
+        return _Reader(value, f"{self._prefix}{name}.", self.findings)
 
     def get(self, name: str, kind: type) -> Any:
         value = self.document.get(name)
@@ -171,7 +171,7 @@
         return parsed
 
     def _find(self, name: str, message: str) -> None:
-        self.findings.append(Finding(f"{self._place}{name}", message))
+        self.findings.append(Finding(f"{self._prefix}{name}", message))
 
 
 def parse_address(text: str) -> Address | None:
--- a/bamboovale/platform/requests.py
+++ b/bamboovale/platform/requests.py
@@ -1,4 +1,4 @@
-"""Headers of requests and answers, decoded and encoded."""
+"""Decoding and encoding of the headers of requests and answers."""
 
 import h11
 
@@ -7,11 +7,11 @@
 from bamboovale.http1.server import BadRequest, Request
 from bamboovale.platform import names
 
-MOST_DEADLINE_S = 3600.0
+MAX_DEADLINE_S = 3600.0
 
 
 def decode_call(request: Request) -> CallFacts:
-    """Read a caller's headers; raises BadRequest for malformed values."""
+    """Decode a caller's headers; raises BadRequest for malformed values."""
     request_id = request.get(names.REQUEST_ID)
     if request_id is None:
         raise BadRequest(400, "a request id is required")
@@ -34,7 +34,7 @@
         milliseconds = float(value)
     except ValueError as error:
         raise BadRequest(400, "the deadline is no number") from error
-    return min(max(milliseconds / 1000, 0.0), MOST_DEADLINE_S)
+    return min(max(milliseconds / 1000, 0.0), MAX_DEADLINE_S)
 
 
 def _decode_work(request: Request) -> ModelWork | None:
@@ -74,7 +74,7 @@
 
 
 def _forwarded(headers: Headers) -> Headers:
-    """Leave out what concerns one connection and what only we may set."""
+    """Drop hop-by-hop headers and those that callers may not set."""
     named = {
         token.strip().lower()
         for name, value in headers
@@ -95,7 +95,10 @@
     urgency: int | None = None,
     resume_after: str | None = None,
 ) -> h11.Request:
-    """Return the request for an endpoint; ``left_s`` is what the caller still waits."""
+    """Return the request for an endpoint.
+
+    ``left_s`` is the time left until the caller's deadline.
+    """
     headers = list(facts.forward)
     headers.append((names.DEADLINE, str(max(1, int(left_s * 1000))).encode()))
     headers.append((names.EXPECT_INSTANCE, registered_id.encode("latin-1")))
@@ -115,7 +118,7 @@
 
 
 def decode_answer(head: AnswerHead) -> AnswerFacts:
-    """Read the head of an endpoint's answer."""
+    """Decode the head of an endpoint's answer."""
     request_id = head.get(names.REQUEST_ID)
     headers = [pair for pair in head.headers if pair[0] not in names.HOP_BY_HOP]
     return AnswerFacts(
@@ -137,7 +140,7 @@
 
 
 def encode_refusal(retry_after_s: float | None, request_id: str | None) -> Headers:
-    """Return the headers of an answer of our own."""
+    """Return the headers of a refusal that the entry VM itself sends."""
     headers: Headers = [(b"content-type", b"text/plain")]
     if request_id is not None:
         headers.append((names.REQUEST_ID, request_id.encode("latin-1")))
--- a/bamboovale/platform/store.py
+++ b/bamboovale/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store: keyed topics, group membership."""
+"""Client of the platform's metadata store: keyed topics and group membership."""
 
 import asyncio
 import base64
@@ -22,15 +22,16 @@
 from bamboovale.http1.pool import ConnectionPool
 
 CALL_TIMEOUT_S = 1.5
-"""The store answers in milliseconds; a slow one takes some hundreds of them."""
+"""Well above the answer time of a slow store."""
 READ_HEAD_BYTES = 16
 STORE_ID = "store"
 
 
 class StoreClient:
-    """Calls the store; every method raises StoreError.
+    """HTTP client of the store; every method raises StoreError.
 
-    ``address`` is asked before each call: the settings may change.
+    ``address`` is called before each request, as the settings may change. ``on_call``
+    is called with the name of each request.
     """
 
     def __init__(
@@ -53,7 +54,7 @@
             if after is not None:
                 query["after"] = after
             page = await self._json("GET", "log-newest", query)
-            # Pages are no snapshot: what changed since the first is read again.
+            # Pages are not one snapshot: changes since the first page are read again.
             end = page["end"] if end is None else min(end, page["end"])
             for item in page["items"]:
                 record = _keyed_item(item)
@@ -70,7 +71,8 @@
     ) -> tuple[tuple[KeyedRecord, ...], int]:
         """Return the records from an offset on, and the next offset.
 
-        Waits up to ``wait_s`` for one. Raises HistoryLostError.
+        Waits up to ``wait_s`` seconds for a record. Raises HistoryLostError if the
+        store no longer has the offset.
         """
         query = {"topic": topic, "part": "0", "from": str(offset)}
         if wait_s > 0:
@@ -101,7 +103,7 @@
         generation: int,
         timeout_s: float,
     ) -> Membership:
-        """Join a group or stay in it for another ``ttl_s``."""
+        """Join a group or renew the membership for ``ttl_s`` seconds."""
         document = {
             "group": group,
             "member": member,
@@ -114,7 +116,7 @@
         return Membership(int(answer["generation"]), partitions)
 
     async def leave(self, group: str, member: str) -> None:
-        """Leave a group, so that others take over at once."""
+        """Leave a group, so that its other members take over at once."""
         await self._json("POST", "log-leave", {}, {"group": group, "member": member})
 
     async def members(self, group: str) -> frozenset[str]:
@@ -136,7 +138,7 @@
         try:
             return json.loads(answer) if answer else {}
         except ValueError as error:
-            raise StoreError(f"{name}: no JSON") from error
+            raise StoreError(f"{name}: answer is not valid JSON") from error
 
     async def _call(
         self,
@@ -150,15 +152,15 @@
             async with asyncio.timeout(timeout_s):
                 status, answer = await self._exchange(method, target, body)
         except TimeoutError as error:
-            # Idle connections may be as silent: each would cost another timeout.
+            # Idle connections may be silent too, and each would cost a timeout.
             self._pool.forget(STORE_ID)
             raise NoAnswerError(f"{target}: no answer in time") from error
         except (ConnectFailed, AnswerBroken, OSError) as error:
             raise StoreError(f"{target}: {error}") from error
         if status == 410:
-            raise HistoryLostError(f"{target}: history is gone", status)
+            raise HistoryLostError(f"{target}: offset is no longer stored", status)
         if status != 200:
-            raise StoreError(f"{target}: {status} {answer[:200]!r}", status)
+            raise StoreError(f"{target}: status {status}: {answer[:200]!r}", status)
         return answer
 
     async def _exchange(
@@ -200,7 +202,7 @@
 
 
 def _keyed_records(data: bytes, offset: int) -> tuple[KeyedRecord, ...]:
-    """Split records: four bytes of length, a byte of key length, key, value."""
+    """Split records: 4-byte length, 1-byte key length, key, value."""
     records: list[KeyedRecord] = []
     at = 0
     while at + 4 <= len(data):
--- a/bamboovale/platform/translation.py
+++ b/bamboovale/platform/translation.py
@@ -1,4 +1,4 @@
-"""The adapter as one object, handed to the routed interface at start."""
+"""The platform's formats behind the gateway's ``Translation`` interface."""
 
 from collections.abc import Callable
 
@@ -29,7 +29,7 @@
 
 
 class PlatformTranslation:
-    """Implements ``gateway.translation.Translation`` for the users' platform."""
+    """``gateway.translation.Translation`` for the users' platform."""
 
     operator_topic = names.OPERATOR_TOPIC
     endpoints_topic = names.SERVERS_TOPIC
@@ -51,7 +51,7 @@
         key: str,
         value: bytes,
     ) -> RoutingTable | AdapterVersion | str | None:
-        """Read what the operator wrote; a text says what is wrong with it."""
+        """Decode an operator's record; a str describes an error, None another key."""
         if key == names.CONFIG_KEY:
             return self.decode_table(value)
         if not key.startswith(names.VERSION_PREFIX):
@@ -62,21 +62,21 @@
             return str(error)
 
     def decode_table(self, source: bytes) -> RoutingTable | str:
-        """Read a configuration."""
+        """Decode a configuration; a str describes an error."""
         try:
             return decode_routing_table(source)
         except BadRecordError as error:
             return str(error)
 
     def decode_endpoint_record(self, key: str, value: bytes) -> EndpointRecord | str:
-        """Read an endpoint's record."""
+        """Decode an endpoint's record; a str describes an error."""
         try:
             return endpoints.decode_endpoint(key, value)
         except BadRecordError as error:
             return str(error)
 
     def decode_call(self, request: Request) -> CallFacts:
-        """Read a caller's headers."""
+        """Decode a caller's headers; raises BadRequest."""
         return requests.decode_call(request)
 
     def encode_call(
@@ -102,7 +102,7 @@
         )
 
     def decode_answer(self, head: AnswerHead) -> AnswerFacts:
-        """Read the head of an answer."""
+        """Decode the head of an endpoint's answer."""
         return requests.decode_answer(head)
 
     def encode_refusal(
@@ -110,15 +110,15 @@
         retry_after_s: float | None,
         request_id: str | None,
     ) -> Headers:
-        """Return the headers of an answer of our own."""
+        """Return the headers of a refusal that the entry VM itself sends."""
         return requests.encode_refusal(retry_after_s, request_id)
 
     def report_request(self, registered_id: str, host: str) -> h11.Request:
-        """Return the call for an engine's report."""
+        """Return the HTTP request for an engine's report."""
         return endpoints.report_request(registered_id, host)
 
     def decode_report(self, body: bytes) -> EngineReport:
-        """Read an engine's report."""
+        """Decode an engine's report; raises BadRecordError."""
         return endpoints.decode_report(body)
 
     def order_request(
@@ -131,7 +131,7 @@
         fence: int,
         expected_orders: int | None,
     ) -> tuple[h11.Request, bytes]:
-        """Return the call that gives an order."""
+        """Return the HTTP request that gives an order, and its body."""
         return endpoints.order_request(
             order,
             registered_id=registered_id,
@@ -142,7 +142,7 @@
         )
 
     def order_outcome(self, status: int) -> OrderOutcome:
-        """Read the status of an order's answer."""
+        """Return the outcome that the status of an order's answer stands for."""
         return endpoints.OUTCOME_BY_STATUS.get(status, OrderOutcome.UNKNOWN)
 
     def directory_answer(
@@ -151,15 +151,15 @@
         addresses_for: Callable[[str], list[tuple[str, int]]],
         ttl_s: float,
     ) -> bytes | None:
-        """Return the body for a question where to connect."""
+        """Return the answer to a directory query, None if there is none to give."""
         query = directory.decode_query(target)
         if query is None:
             return None
         addresses = addresses_for(query.failure_domain)
         if not addresses:
             return None
-        return directory.encode_addresses(addresses[: directory.MOST_ADDRESSES], ttl_s)
+        return directory.encode_addresses(addresses[: directory.MAX_ADDRESSES], ttl_s)
 
     def is_readiness_query(self, target: str) -> bool:
-        """Tell whether a call asks for readiness."""
+        """Return whether a target is the readiness path."""
         return directory.is_readiness_query(target)
