--- a/bamboovale/peers/authentication.py
+++ b/bamboovale/peers/authentication.py
@@ -1,4 +1,4 @@
-"""Opens links to peers and lets peers in, each only after both proved the key."""
+"""Authentication of links: both sides prove that they hold the shared key."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 from bamboovale.metrics import Metrics
 from bamboovale.peers.channel import (
     HANDSHAKE_TIMEOUT_S,
-    LIBRARY_LOGGER,
+    WEBSOCKETS_LOGGER,
     Channel,
     is_loopback,
 )
@@ -22,14 +22,14 @@
 )
 from bamboovale.peers.outgoing import PeerUnreachableError
 
-# Strangers may hold this many unproved connections open; each for a second.
-MAX_UNPROVED = 64
+# Limit of open connections whose handshake is not complete.
+MAX_UNAUTHENTICATED = 64
 
 AddressOf = Callable[[str], tuple[str, int] | None]
 
 
 class Authenticator:
-    """Knows who we are and the shared key; without a key, only loopback passes."""
+    """Opens and accepts links; without a shared key, on loopback only."""
 
     def __init__(
         self,
@@ -44,16 +44,16 @@
         self._key = key
         self._address_of = address_of
         self._metrics = metrics
-        self._unproved = 0
+        self._unauthenticated = 0
 
     async def open_channel(self, vm_id: str) -> Channel:
-        """Connect to a peer and prove who we are; raises PeerUnreachableError."""
+        """Connect to a peer and authenticate; raises PeerUnreachableError."""
         target = self._address_of(vm_id)
         if target is None:
-            raise PeerUnreachableError("its address is not known")
+            raise PeerUnreachableError("the address of the peer is not known")
         address, port = target
         if not self._key and not is_loopback(address):
-            raise PeerUnreachableError("no peer key: only loopback is called")
+            raise PeerUnreachableError("without a peer key only loopback is allowed")
         host = f"[{address}]" if ":" in address else address
         try:
             async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
@@ -66,7 +66,7 @@
                     ping_interval=None,
                     user_agent_header=None,
                     proxy=None,
-                    logger=LIBRARY_LOGGER,
+                    logger=WEBSOCKETS_LOGGER,
                     local_addr=(self._address, 0),
                 )
                 try:
@@ -77,25 +77,25 @@
                     connection.transport.abort()
                     raise
         except TimeoutError as error:
-            raise PeerUnreachableError("no handshake in time") from error
+            raise PeerUnreachableError("handshake timed out") from error
         except (HandshakeError, BadMessageError) as error:
-            raise PeerUnreachableError(f"handshake: {error}") from error
+            raise PeerUnreachableError(f"handshake failed: {error}") from error
         except (OSError, WebSocketException) as error:
             raise PeerUnreachableError(str(error)) from error
         return Channel(connection, self._metrics)
 
     async def accept(self, connection: ServerConnection) -> str | None:
-        """Return the VM id of the other side, or None if it is not let in.
+        """Return the VM id of the caller, or None if it is rejected.
 
-        Guards against strangers who open connections and say nothing: each is held
-        for a second at most, and only so many of them at a time.
+        Guards against clients that open connections and send nothing: the number and
+        the duration of incomplete handshakes are limited.
         """
         remote = connection.remote_address[0]
-        if self._unproved >= MAX_UNPROVED:
+        if self._unauthenticated >= MAX_UNAUTHENTICATED:
             return None
         if not self._key and not is_loopback(remote):
             return None
-        self._unproved += 1
+        self._unauthenticated += 1
         try:
             async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
                 return await authenticate_as_called(connection, self._own_id, self._key)
@@ -105,4 +105,4 @@
             self._metrics.peer_bad_messages.inc()
             return None
         finally:
-            self._unproved -= 1
+            self._unauthenticated -= 1
--- a/bamboovale/peers/channel.py
+++ b/bamboovale/peers/channel.py
@@ -1,4 +1,4 @@
-"""An authenticated connection with its counters."""
+"""A channel: an authenticated connection that counts its traffic."""
 
 import ipaddress
 import logging
@@ -6,30 +6,28 @@
 
 from bamboovale.metrics import Metrics
 
-# A peer in the same region answers in milliseconds; another region in some 100 ms.
 HANDSHAKE_TIMEOUT_S = 1.0
 
-# A peer that takes this many frames behind is served no more of them: what waits
-# longer than its timeout is worthless, and the memory of a link stays bounded.
+# Bounds the memory of a link to a peer that reads too slowly.
 QUEUE_LIMIT = 512
 
-# The library reports each failed connection with a traceback. Ours are counted.
-LIBRARY_LOGGER = logging.getLogger("bamboovale.peers.library")
-LIBRARY_LOGGER.propagate = False
-LIBRARY_LOGGER.addHandler(logging.NullHandler())
-LIBRARY_LOGGER.setLevel(logging.CRITICAL)
+# Silences the tracebacks that websockets logs for each failed connection.
+WEBSOCKETS_LOGGER = logging.getLogger("bamboovale.peers.library")
+WEBSOCKETS_LOGGER.propagate = False
+WEBSOCKETS_LOGGER.addHandler(logging.NullHandler())
+WEBSOCKETS_LOGGER.setLevel(logging.CRITICAL)
 
 
 def is_loopback(address: str) -> bool:
-    """Tell whether an IP address reaches this VM only."""
+    """Return whether an IP address is a loopback address."""
     return ipaddress.ip_address(address).is_loopback
 
 
 class Channel:
-    """Sends and receives frames, and remembers why it was closed.
+    """Sends and receives frames, and keeps the cause of its closing.
 
-    The library's own keepalive is not used: its ping waits for room in the send
-    buffer without a timeout, so that a peer which reads nothing is never found.
+    The keepalive of websockets is not used: its ping waits for room in the send buffer
+    without a timeout, so that it never detects a peer which reads nothing.
     """
 
     def __init__(self, connection: Any, metrics: Metrics) -> None:
@@ -51,7 +49,7 @@
         return data  # type: ignore[no-any-return]
 
     def abort(self, cause: str) -> None:
-        """Close at once, whatever is still unsent; the first cause is counted."""
+        """Close at once and drop unsent data; the first cause is kept."""
         if self.close_cause == "closed":
             self.close_cause = cause
         self._connection.transport.abort()
--- a/bamboovale/peers/codec.py
+++ b/bamboovale/peers/codec.py
@@ -1,12 +1,12 @@
 """Typed messages between entry VMs, as CBOR maps with a type tag.
 
 A message is a frozen data class registered with :func:`message`. Decoding checks
-every value against the type hints, so that a handler never meets a half-read
-message. Fields that equal their default are left out: a message stays small, and a
-field added with a default is not sent to an older peer until it is used.
+every value against the type hints. Fields that equal their default are omitted: a
+message stays small, and a new field with a default reaches an older peer only when it
+is used.
 
-Rows, of which one message holds many, are arrays in the order of their fields instead,
-without the trailing ones that equal their default. New fields go to their end.
+Rows (:func:`row`), of which one message holds many, are arrays in the order of their
+fields, without trailing defaults. New fields must be added at the end.
 """
 
 import dataclasses
@@ -19,7 +19,7 @@
 
 import cbor2
 
-# A whole catalogue of 17,000 entries at some 200 bytes each.
+# Large enough for a snapshot of a whole catalogue.
 MAX_FRAME_BYTES = 4 * 1024 * 1024
 
 TAG_KEY = "type"
@@ -34,7 +34,7 @@
 
 
 class BadMessageError(Exception):
-    """Bytes that are no message of ours: malformed, unknown or too large."""
+    """A malformed, unknown or too large message."""
 
 
 def message(tag: str) -> Callable[[MessageClass], MessageClass]:
@@ -53,7 +53,7 @@
 
 
 def row(cls: MessageClass) -> MessageClass:
-    """Let a frozen data class go as an array, within messages that hold many of it."""
+    """Encode a frozen data class as an array within messages."""
     if not dataclasses.is_dataclass(cls):
         raise TypeError(f"{cls.__name__} is no data class")
     _rows.add(cls)
@@ -63,8 +63,8 @@
 def encode(item: Any) -> bytes:
     """Return the bytes of a registered message.
 
-    Raises BadMessageError if it has no tag, does not fit its type hints or is too
-    large.
+    Raises BadMessageError if it is not registered, does not match its type hints or
+    is too large.
     """
     try:
         frame = cbor2.dumps(pack(item))
@@ -73,30 +73,30 @@
             f"cannot encode {type(item).__name__}: {error}"
         ) from error
     if len(frame) > MAX_FRAME_BYTES:
-        raise BadMessageError(f"{len(frame)} bytes are too many for one message")
+        raise BadMessageError(f"message of {len(frame)} bytes is too large")
     return frame
 
 
 def decode(frame: bytes) -> Any:
-    """Return the message that the bytes hold; raises BadMessageError."""
+    """Decode a registered message; raises BadMessageError."""
     return unpack(load(frame))
 
 
 def load(frame: bytes) -> Any:
-    """Return the plain value in the bytes; raises BadMessageError.
+    """Decode one CBOR value; raises BadMessageError.
 
-    The decoder's own errors are of many classes, which differ between its native
-    and its pure form, so all of them are taken for a malformed frame.
+    Any exception of the decoder means a malformed frame: their classes differ between
+    its native and its pure Python implementation.
     """
     if len(frame) > MAX_FRAME_BYTES:
-        raise BadMessageError(f"{len(frame)} bytes are too many for one message")
+        raise BadMessageError(f"message of {len(frame)} bytes is too large")
     stream = io.BytesIO(frame)
     try:
         value = cbor2.load(stream)
     except Exception as error:
         raise BadMessageError(f"malformed frame: {type(error).__name__}") from error
     if stream.tell() != len(frame):
-        raise BadMessageError("bytes are left over after the message")
+        raise BadMessageError("trailing bytes after the message")
     return value
 
 
@@ -104,7 +104,7 @@
     """Return the tagged map of a registered message; raises BadMessageError."""
     tag = _tag_by_class.get(type(item))
     if tag is None:
-        raise BadMessageError(f"{type(item).__name__} is no registered message")
+        raise BadMessageError(f"{type(item).__name__} is not a registered message")
     return {TAG_KEY: tag, **_coders_of(type(item))[0](item)}
 
 
@@ -121,7 +121,7 @@
 
 
 def _coders_of(hint: Any) -> tuple[Coder, Coder]:
-    """Return the encoder and the decoder of a type hint, built once."""
+    """Return the cached encoder and decoder of a type hint."""
     coders = _coders_by_hint.get(hint)
     if coders is None:
         coders = _coders_by_hint[hint] = _build_coders(hint)
@@ -153,7 +153,7 @@
 
 
 def _scalar_coders(kind: type) -> tuple[Coder, Coder]:
-    # A whole number counts as float, but True is no number.
+    # An int is accepted as a float; a bool is not a number.
     accepted = (float, int) if kind is float else (kind,)
 
     def check(value: Any) -> Any:
@@ -167,7 +167,7 @@
 
 
 def _plain_coders() -> tuple[Coder, Coder]:
-    """Return coders of values as JSON knows them."""
+    """Return coders of JSON-like values."""
 
     def check(value: Any) -> Any:
         if isinstance(value, dict):
@@ -183,7 +183,7 @@
 
 def _text(value: Any) -> str:
     if type(value) is not str:
-        raise BadMessageError("a key of a plain map must be text")
+        raise BadMessageError("keys of a plain map must be str")
     return value
 
 
@@ -197,7 +197,7 @@
         try:
             return kind(value)
         except ValueError as error:
-            raise BadMessageError(f"no {kind.__name__}: {value!r:.60}") from error
+            raise BadMessageError(f"not a {kind.__name__}: {value!r:.60}") from error
 
     return write, read
 
--- a/bamboovale/peers/frames.py
+++ b/bamboovale/peers/frames.py
@@ -1,7 +1,7 @@
-"""One frame on a link: its kind, the request's number and the message.
+"""Frames on a link.
 
-A frame is a CBOR array ``[kind, number, message]``. The number pairs a reply with
-its request on that link; a notice has number 0.
+A frame is a CBOR array ``[kind, number, message]``. The number matches a reply to its
+request on that link; a notice has number 0.
 """
 
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 
 class FrameKind(IntEnum):
-    """What a frame asks of its receiver."""
+    """Kinds of frames."""
 
     REQUEST = 0
     REPLY = 1
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Frame:
-    """A decoded frame; a failure's message is its text, a ping's and a pong's None."""
+    """A decoded frame; the message is a str in a failure, None in a ping or pong."""
 
     kind: FrameKind
     number: int
@@ -34,7 +34,7 @@
 
 
 def encode_frame(kind: FrameKind, number: int, message: Any) -> bytes:
-    """Return the bytes of a frame; raises BadMessageError for what cannot be sent."""
+    """Return the bytes of a frame; raises BadMessageError if it cannot be encoded."""
     body = message if kind is FrameKind.FAILURE else pack(message)
     try:
         data = cbor2.dumps([int(kind), number, body])
@@ -43,22 +43,22 @@
             f"cannot encode {type(message).__name__}: {error}"
         ) from error
     if len(data) > MAX_FRAME_BYTES:
-        raise BadMessageError(f"{len(data)} bytes are too many for one message")
+        raise BadMessageError(f"message of {len(data)} bytes is too large")
     return data
 
 
 def decode_frame(data: bytes | str) -> Frame:
-    """Return the frame in the bytes; raises BadMessageError."""
+    """Decode a frame; raises BadMessageError."""
     if isinstance(data, str):
-        raise BadMessageError("text in place of bytes")
+        raise BadMessageError("frame is text, not bytes")
     value = load(data)
     if not isinstance(value, list) or len(value) != 3:
-        raise BadMessageError("a frame must be an array of three")
+        raise BadMessageError("a frame must be an array of three items")
     kind, number, body = value
     if type(number) is not int or number < 0:
-        raise BadMessageError("a frame's number must be a whole number")
+        raise BadMessageError("a frame number must be a non-negative integer")
     if type(kind) is not int or kind not in FrameKind.__members__.values():
-        raise BadMessageError(f"unknown kind of frame: {kind!r:.60}")
+        raise BadMessageError(f"unknown frame kind {kind!r:.60}")
     if kind in (FrameKind.PING, FrameKind.PONG):
         return Frame(FrameKind(kind), number, None)
     if kind == FrameKind.FAILURE:
--- a/bamboovale/peers/handshake.py
+++ b/bamboovale/peers/handshake.py
@@ -1,9 +1,9 @@
-"""Both sides of a new link prove that they hold the shared key.
+"""Mutual authentication of a new link by a shared key.
 
-The key itself is never sent. Each side proves it over fresh random numbers of both,
-both VM ids and its own role, so that a recorded or mirrored proof is of no use.
-What follows the handshake is neither encrypted nor signed: whoever can alter
-packets between entry VMs can alter messages (``docs/OPERATIONS.md``, known limits).
+The key is never sent. Each proof is an HMAC over the nonces and VM ids of both sides
+and the role of the prover, so that it cannot be replayed or reflected. The messages
+after the handshake are neither encrypted nor signed (``docs/OPERATIONS.md``, known
+limits).
 """
 
 import hmac
@@ -17,18 +17,18 @@
 
 NONCE_BYTES = 16
 
-# The largest message of the handshake: two VM ids, a random number and a proof.
+# Bounds what a peer that is not authenticated can send.
 MAX_HANDSHAKE_BYTES = 1024
 
 Expected = TypeVar("Expected")
 
 
 class HandshakeError(Exception):
-    """The other side is not the peer that it should be."""
+    """The other side is not the expected peer or holds another key."""
 
 
-class Channel(Protocol):
-    """What the handshake needs of a connection."""
+class Connection(Protocol):
+    """A connection, as the handshake uses it."""
 
     async def send(self, message: bytes, /) -> None:
         """Send one frame."""
@@ -40,7 +40,7 @@
 @message("hello")
 @dataclass(frozen=True)
 class Hello:
-    """Opens the handshake: who calls whom."""
+    """Opens the handshake with the ids of both sides."""
 
     caller: str
     called: str
@@ -68,59 +68,59 @@
 @message("welcome")
 @dataclass(frozen=True)
 class Welcome:
-    """Ends the handshake: the called side takes messages from here on."""
+    """Ends the handshake: the called side accepts messages from now on."""
 
 
 async def authenticate_as_caller(
-    channel: Channel, own_id: str, peer_id: str, key: str
+    connection: Connection, own_id: str, peer_id: str, key: str
 ) -> None:
-    """Prove ourselves as the caller and check the called side's proof.
+    """Authenticate as the caller and verify the proof of the called side.
 
     Raises HandshakeError if the other side is another VM or has another key.
     """
     hello = Hello(own_id, peer_id, secrets.token_bytes(NONCE_BYTES))
-    await channel.send(encode(hello))
-    challenge = await _receive(channel, Challenge)
+    await connection.send(encode(hello))
+    challenge = await _receive(connection, Challenge)
     if challenge.called != peer_id:
-        raise HandshakeError(f"{challenge.called!r:.60} answers for {peer_id}")
-    _check(challenge.proof, _proof(key, "called", hello, challenge.nonce))
-    await channel.send(encode(Proof(_proof(key, "caller", hello, challenge.nonce))))
-    await _receive(channel, Welcome)
+        raise HandshakeError(f"{challenge.called!r:.60} answered, not {peer_id}")
+    _verify(challenge.proof, _proof(key, "called", hello, challenge.nonce))
+    await connection.send(encode(Proof(_proof(key, "caller", hello, challenge.nonce))))
+    await _receive(connection, Welcome)
 
 
-async def authenticate_as_called(channel: Channel, own_id: str, key: str) -> str:
-    """Prove ourselves as the called side; return the caller's VM id.
+async def authenticate_as_called(connection: Connection, own_id: str, key: str) -> str:
+    """Authenticate as the called side; return the VM id of the caller.
 
-    Raises HandshakeError if the caller meant another VM or has another key.
+    Raises HandshakeError if the caller expects another VM or has another key.
     """
-    hello = await _receive(channel, Hello)
+    hello = await _receive(connection, Hello)
     if hello.called != own_id:
-        raise HandshakeError(f"{hello.caller!r:.60} looks for {hello.called!r:.60}")
+        raise HandshakeError(f"{hello.caller!r:.60} expects {hello.called!r:.60}")
     if len(hello.nonce) != NONCE_BYTES:
-        raise HandshakeError("a random number of the wrong length")
+        raise HandshakeError("the nonce has a wrong length")
     nonce = secrets.token_bytes(NONCE_BYTES)
     challenge = Challenge(own_id, nonce, _proof(key, "called", hello, nonce))
-    await channel.send(encode(challenge))
-    proof = await _receive(channel, Proof)
-    _check(proof.proof, _proof(key, "caller", hello, nonce))
-    await channel.send(encode(Welcome()))
+    await connection.send(encode(challenge))
+    proof = await _receive(connection, Proof)
+    _verify(proof.proof, _proof(key, "caller", hello, nonce))
+    await connection.send(encode(Welcome()))
     return hello.caller
 
 
 def _proof(key: str, role: str, hello: Hello, nonce: bytes) -> bytes:
-    said: list[Any] = [role, hello.caller, hello.called, hello.nonce, nonce]
-    return hmac.digest(key.encode(), cbor2.dumps(said), "sha256")
+    fields: list[Any] = [role, hello.caller, hello.called, hello.nonce, nonce]
+    return hmac.digest(key.encode(), cbor2.dumps(fields), "sha256")
 
 
-def _check(given: bytes, expected: bytes) -> None:
+def _verify(given: bytes, expected: bytes) -> None:
     if not hmac.compare_digest(given, expected):
         raise HandshakeError("the other side holds another key")
 
 
-async def _receive(channel: Channel, kind: type[Expected]) -> Expected:
-    data = await channel.recv()
+async def _receive(connection: Connection, kind: type[Expected]) -> Expected:
+    data = await connection.recv()
     if isinstance(data, str) or len(data) > MAX_HANDSHAKE_BYTES:
-        raise BadMessageError("no message of the handshake")
+        raise BadMessageError("not a handshake message")
     item = decode(data)
     if not isinstance(item, kind):
         raise BadMessageError(f"{kind.__name__} expected, not {type(item).__name__}")
--- a/bamboovale/peers/incoming.py
+++ b/bamboovale/peers/incoming.py
@@ -1,6 +1,6 @@
-"""A link that a peer opened, over which its requests come in.
+"""A link opened by a peer, on which its requests arrive.
 
-Everything here runs on the event loop's thread, except the reply functions.
+Everything runs on the event loop's thread, except the reply functions.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 from bamboovale.peers.channel import QUEUE_LIMIT, Channel
 from bamboovale.peers.codec import BadMessageError
 from bamboovale.peers.frames import PONG, Frame, FrameKind, decode_frame, encode_frame
-from bamboovale.peers.keepalive import CALLED_SILENCE_S
+from bamboovale.peers.keepalive import INCOMING_SILENCE_S
 
 logger = logging.getLogger(__name__)
 
@@ -24,7 +24,7 @@
 
 
 class IncomingLink:
-    """Hands a peer's messages to the handlers and sends the replies back."""
+    """Dispatches a peer's messages to the handlers and sends the replies."""
 
     def __init__(
         self,
@@ -61,17 +61,16 @@
             self._metrics.peer_links_closed.labels(cause).inc()
 
     def check(self, lag_s: float) -> None:
-        """Cut the link if its peer, which pings, has been silent for too long.
+        """Abort the link if its peer, which sends pings, has been silent for too long.
 
-        Guards against keeping the memory of links whose peer vanished without a
-        reset; requests of ours do not go over this link.
+        Guards against a leak of links whose peers vanished without a TCP reset.
         """
         self._last_received_at += lag_s
-        if self._loop.time() - self._last_received_at > CALLED_SILENCE_S:
+        if self._loop.time() - self._last_received_at > INCOMING_SILENCE_S:
             self._channel.abort("silent")
 
     def abort(self) -> None:
-        """End the connection without a word."""
+        """Abort the connection."""
         self._channel.abort("silent")
 
     async def _read(self) -> None:
@@ -79,7 +78,7 @@
             while True:
                 data = await self._channel.receive()
                 self._last_received_at = self._loop.time()
-                self._take(decode_frame(data))
+                self._dispatch(decode_frame(data))
         except ConnectionClosed:
             return
         except BadMessageError:
@@ -93,46 +92,46 @@
         except ConnectionClosed:
             return
 
-    def _take(self, frame: Frame) -> None:
+    def _dispatch(self, frame: Frame) -> None:
         if frame.kind is FrameKind.PING:
             self._enqueue(PONG)
         elif frame.kind is FrameKind.REQUEST:
-            self._take_request(frame)
+            self._handle_request(frame)
         elif frame.kind is FrameKind.NOTICE:
             self._on_notice(self.sender, frame.message)
         else:
-            raise BadMessageError("a reply came over a link for requests")
+            raise BadMessageError("unexpected reply on an incoming link")
 
-    def _take_request(self, frame: Frame) -> None:
-        """Call the handler; a handler that raises is told to the peer at once."""
+    def _handle_request(self, frame: Frame) -> None:
+        """Call the handler; an exception is reported to the peer as a failure."""
         try:
             self._on_request(self.sender, frame.message, self._reply_to(frame.number))
         except Exception as error:
-            logger.exception("a request of %s failed", self.sender)
+            logger.exception("handler of a request from peer %s failed", self.sender)
             text = type(error).__name__
             self._enqueue(encode_frame(FrameKind.FAILURE, frame.number, text))
 
     def notify(self, data: bytes) -> None:
-        """Send a notice back over the link that the peer opened."""
+        """Send an encoded notice to the peer."""
         self._enqueue(data)
 
     def _reply_to(self, number: int) -> Reply:
-        """Return the function that answers one request, from any thread."""
+        """Return the function that replies to one request, from any thread."""
 
         def reply(message: Any) -> None:
             data = encode_frame(FrameKind.REPLY, number, message)
             try:
                 self._loop.call_soon_threadsafe(self._enqueue, data)
-            except RuntimeError:  # the links were stopped meanwhile
+            except RuntimeError:  # the event loop is closed
                 self._metrics.peer_messages_dropped.inc()
 
         return reply
 
     def _enqueue(self, data: bytes) -> None:
-        """Queue a reply; a peer that leaves so many unread is cut off.
+        """Queue a frame; abort the link if the queue is full.
 
-        Dropping single replies would make each a timeout; a cut link tells the
-        peer at once that all its open requests are lost.
+        A dropped reply would cost its request a timeout, while an aborted link fails
+        all requests of the peer at once.
         """
         try:
             self._outbox.put_nowait(data)
--- a/bamboovale/peers/keepalive.py
+++ b/bamboovale/peers/keepalive.py
@@ -1,33 +1,33 @@
-"""Decides when to ping a peer and when to call it silent; no sockets, no clock.
+"""Keepalive of links: when to ping a peer and when it is silent; no sockets, no clock.
 
-Guards against a peer that is frozen, cut off one way or no longer reads: TCP reports
-none of these for minutes, while every request to it would wait for its timeout. Any
-frame back after a ping shows both directions and the peer's event loop to be alive.
+Guards against a peer that is frozen, unreachable in one direction or no longer reads:
+TCP detects none of these for minutes, and each request would wait for its timeout. Any
+frame received after a ping proves that both directions and the peer work.
 
-Only the side that opened the link pings, often while a request of its waits for a
-reply and seldom otherwise: pinging every link from both ends every 0.7 s took 0.1% of
-a core for each peer (``docs/design/peers.md``). All times are seconds, monotonic.
+Only the side that opened the link sends pings: often while a request is in flight,
+rarely otherwise, as pings on idle links cost processor time for every peer. All times
+are in seconds of a monotonic clock.
 """
 
 from enum import Enum, auto
 
-# How often all links are looked at, in one turn of one timer.
-SWEEP_S = 0.25
+# Interval of the checks of all links.
+SWEEP_INTERVAL_S = 0.25
 
-# How long a peer that owes a reply can be silent unseen: a sweep until the first look,
-# the timeout, and a sweep until it is noticed. That is below two seconds.
+# A silent peer with a request in flight is detected within the ping interval, the
+# timeout and two sweeps.
 PING_INTERVAL_S = 0.5
 PING_TIMEOUT_S = 1.0
 
-# A notice may be lost, so a link without open requests may be dead for a while.
+# Without requests in flight late detection is harmless, as notices are best effort.
 IDLE_PING_INTERVAL_S = 10.0
 
-# The called side hears at least a ping in this time. The rest is for a late sweep.
-CALLED_SILENCE_S = IDLE_PING_INTERVAL_S + 2 * PING_TIMEOUT_S
+# The peer sends at least one ping in this time; the margin is for late sweeps.
+INCOMING_SILENCE_S = IDLE_PING_INTERVAL_S + 2 * PING_TIMEOUT_S
 
 
 class KeepaliveAction(Enum):
-    """What a look at the link asks for."""
+    """Action that a check of a link calls for."""
 
     NOTHING = auto()
     PING = auto()
@@ -35,7 +35,7 @@
 
 
 class Keepalive:
-    """What is known about the peer's life, on the side that opened the link."""
+    """Keepalive state of one link, on the side that opened it."""
 
     def __init__(self, now: float) -> None:
         self.round_trip_s = 0.0
@@ -43,7 +43,7 @@
         self._unanswered_since: float | None = None
 
     def note_received(self, now: float) -> None:
-        """Note that a frame came in, whichever it was."""
+        """Note that a frame of any kind has arrived."""
         if self._unanswered_since is not None:
             self.round_trip_s = now - self._unanswered_since
             self._unanswered_since = None
@@ -51,10 +51,10 @@
     def check(
         self, now: float, *, awaiting_reply: bool, lag_s: float
     ) -> KeepaliveAction:
-        """Return what to do now; ``lag_s`` is how much too late the look is.
+        """Return what to do now; ``lag_s`` is the delay of this check.
 
-        A pause of our own process is not the peer's silence: its answer may lie in
-        our socket unread, so the time that we slept is not counted.
+        The delay does not count as silence of the peer: its answer may be unread in our
+        socket.
         """
         if self._unanswered_since is not None:
             self._unanswered_since += lag_s
--- a/bamboovale/peers/links.py
+++ b/bamboovale/peers/links.py
@@ -1,7 +1,7 @@
 """Links between this entry VM and its peers: requests, replies and notices.
 
-All links share one thread with one event loop: a thread per link and direction costs
-more memory than the links themselves (``docs/design/peers.md`` has the figures).
+All links share one thread with one event loop, as a thread per link and direction would
+cost more memory than the links themselves (``docs/design/peers.md``).
 """
 
 import asyncio
@@ -19,18 +19,22 @@
 
 from bamboovale.metrics import Metrics
 from bamboovale.peers.authentication import AddressOf, Authenticator
-from bamboovale.peers.channel import HANDSHAKE_TIMEOUT_S, LIBRARY_LOGGER, Channel
+from bamboovale.peers.channel import HANDSHAKE_TIMEOUT_S, WEBSOCKETS_LOGGER, Channel
 from bamboovale.peers.codec import MAX_FRAME_BYTES
 from bamboovale.peers.frames import FrameKind, encode_frame
 from bamboovale.peers.handshake import MAX_HANDSHAKE_BYTES
 from bamboovale.peers.incoming import IncomingLink, NoticeHandler, RequestHandler
-from bamboovale.peers.keepalive import SWEEP_S
-from bamboovale.peers.outgoing import Outbound, OutgoingLink, PeerUnreachableError
+from bamboovale.peers.keepalive import SWEEP_INTERVAL_S
+from bamboovale.peers.outgoing import (
+    OutboundMessage,
+    OutgoingLink,
+    PeerUnreachableError,
+)
 from bamboovale.settings import Settings
 
 logger = logging.getLogger(__name__)
 
-# An unused link is closed, so that a VM does not end up linked to all others.
+# An unused link is closed, so that links do not add up to a full mesh.
 IDLE_CLOSE_S = 60.0
 
 START_TIMEOUT_S = 10.0
@@ -39,10 +43,10 @@
 
 @dataclass(frozen=True)
 class LinkState:
-    """What the state dump shows of the links with one peer.
+    """State of the links with one peer, for the state dump.
 
     ``outgoing`` is ``open``, ``connecting``, ``backing_off`` or ``idle``; ``incoming``
-    counts the links that the peer opened.
+    is the number of links that the peer opened.
     """
 
     outgoing: str
@@ -56,9 +60,8 @@
 class PeerLinks:
     """Sends messages to other entry VMs and receives theirs.
 
-    Its functions may be called from any thread; none of them blocks but ``start``
-    and ``stop``. Handlers and future callbacks run on the event loop's thread and
-    must not block.
+    Methods may be called from any thread; only ``start`` and ``stop`` block. Handlers
+    and callbacks of futures run on the event loop's thread and must not block.
     """
 
     def __init__(
@@ -81,7 +84,7 @@
         self._on_notice: NoticeHandler = _ignore
         self._loop: asyncio.AbstractEventLoop | None = None
         self._server: Server | None = None
-        self._sweeping: asyncio.Task[None] | None = None
+        self._sweep_task: asyncio.Task[None] | None = None
         self._stopping: asyncio.Event | None = None
         self._thread: threading.Thread | None = None
 
@@ -92,10 +95,10 @@
         address_of: AddressOf,
         metrics: Metrics,
     ) -> "PeerLinks":
-        """Create the links of an entry VM; nothing is opened yet.
+        """Create the links of an entry VM without opening any.
 
-        ``address_of`` gives the address and peers' port of a VM, or None if it is
-        not known; it must not block.
+        ``address_of`` returns the address and port for links to a VM, or None if they
+        are not known; it must not block.
         """
         return cls(
             settings.id,
@@ -120,27 +123,27 @@
         started.result(START_TIMEOUT_S)
 
     def request(self, vm_id: str, message: Any, timeout_s: float) -> "Future[Any]":
-        """Send a request; the future holds the reply message.
+        """Send a request and return a future of the reply message.
 
-        Its exception is PeerUnreachableError (nothing was sent), or PeerTimeoutError
-        or PeerLostError (the request may have arrived). Raises BadMessageError for a
-        message that cannot be encoded.
+        The future raises PeerUnreachableError (nothing was sent), PeerTimeoutError or
+        PeerLostError (the request may have arrived). The call raises BadMessageError
+        for a message that cannot be encoded.
         """
         number = next(self._numbers)
         future: Future[Any] = Future()
         data = encode_frame(FrameKind.REQUEST, number, message)
-        self._submit(vm_id, Outbound(number, data, future), timeout_s)
+        self._submit(vm_id, OutboundMessage(number, data, future), timeout_s)
         return future
 
     def notify(self, vm_id: str, message: Any) -> None:
-        """Send a notice, best effort: it is dropped if the link is down or full."""
+        """Send a notice; it is dropped if the link is down or its queue is full."""
         self.notify_all([vm_id], message)
 
     def notify_all(self, vm_ids: Iterable[str], message: Any) -> None:
-        """Send one notice to several peers; it is encoded once."""
+        """Send one notice to several peers, encoded once."""
         data = encode_frame(FrameKind.NOTICE, 0, message)
         loop = self._loop
-        with contextlib.suppress(RuntimeError):  # stopped meanwhile
+        with contextlib.suppress(RuntimeError):  # the event loop is closed
             if loop is not None:
                 loop.call_soon_threadsafe(self._enqueue_notice, tuple(vm_ids), data)
 
@@ -154,7 +157,7 @@
         }
 
     def stop(self) -> None:
-        """Close all links; open requests fail."""
+        """Close all links; requests in flight fail."""
         loop, thread, stopping = self._loop, self._thread, self._stopping
         self._loop = None
         if loop is None or thread is None or stopping is None:
@@ -162,35 +165,35 @@
         loop.call_soon_threadsafe(stopping.set)
         thread.join(STOP_TIMEOUT_S)
 
-    def _submit(self, vm_id: str, item: Outbound, timeout_s: float) -> None:
+    def _submit(self, vm_id: str, item: OutboundMessage, timeout_s: float) -> None:
         loop = self._loop
         try:
             if loop is None:
                 raise RuntimeError
             loop.call_soon_threadsafe(self._enqueue, vm_id, item, timeout_s)
-        except RuntimeError:  # stopped, perhaps between the two lines above
+        except RuntimeError:  # stopped, or the event loop has just closed
             item.settle(PeerUnreachableError("the links are stopped"))
 
     def _enqueue_notice(self, vm_ids: tuple[str, ...], data: bytes) -> None:
-        """Send a notice over our own link or, where there is none, over the peer's.
+        """Send a notice on the outgoing link if it is open, else on an incoming one.
 
-        One link for each pair of VMs is enough then, whoever opened it.
+        One link per pair of VMs suffices for notices, regardless of who opened it.
         """
         for vm_id in vm_ids:
             incoming = self._newest_incoming.get(vm_id)
             outgoing = self._link_by_vm_id.get(vm_id)
             has_own = outgoing is not None and outgoing.state == "open"
             if incoming is None or has_own:
-                self._enqueue(vm_id, Outbound(0, data), None)
+                self._enqueue(vm_id, OutboundMessage(0, data), None)
             else:
                 incoming.notify(data)
 
     def abort(self, vm_id: str) -> None:
-        """Cut the links with a peer that we do not hear; the next message opens one.
+        """Abort the links with a silent peer; the next message opens a new one.
 
-        Guards against connections that go silent without a reset while new ones work:
-        pings on a link without open requests find that only after ten seconds. Runs on
-        the event loop's thread.
+        Guards against connections that go silent without a reset while new ones work,
+        which pings on a link without requests detect too late. Runs on the event
+        loop's thread.
         """
         outgoing = self._link_by_vm_id.get(vm_id)
         if outgoing is not None:
@@ -199,36 +202,38 @@
             if incoming.sender == vm_id:
                 incoming.abort()
 
-    def _enqueue(self, vm_id: str, item: Outbound, timeout_s: float | None) -> None:
+    def _enqueue(
+        self, vm_id: str, item: OutboundMessage, timeout_s: float | None
+    ) -> None:
         link = self._link_by_vm_id.get(vm_id)
         if link is None:
 
             def open_channel() -> Coroutine[Any, Any, Channel]:
                 return self._authenticator.open_channel(vm_id)
 
-            def take_notice(message: Any) -> None:
+            def handle_notice(message: Any) -> None:
                 self._on_notice(vm_id, message)
 
-            link = OutgoingLink(open_channel, self._metrics, take_notice)
+            link = OutgoingLink(open_channel, self._metrics, handle_notice)
             self._link_by_vm_id[vm_id] = link
         link.submit(item, timeout_s)
 
     async def open(self, on_request: RequestHandler, on_notice: NoticeHandler) -> None:
-        """Listen on the running event loop; raises OSError.
+        """Listen on the running event loop, without a thread; raises OSError.
 
-        For a process whose handlers live on one loop: no thread is started.
+        For a process whose handlers run on the same event loop.
         """
 
-        def take_notice(sender: str, message: Any) -> None:
+        def handle_notice(sender: str, message: Any) -> None:
             try:
                 on_notice(sender, message)
             except Exception:
-                logger.exception("a notice of %s failed", sender)
+                logger.exception("handler of a notice from peer %s failed", sender)
 
-        self._on_notice = take_notice
+        self._on_notice = handle_notice
 
         async def accept(connection: ServerConnection) -> None:
-            await self._accept(connection, on_request, take_notice)
+            await self._accept(connection, on_request, handle_notice)
 
         self._server = await serve(
             accept,
@@ -240,15 +245,15 @@
             close_timeout=HANDSHAKE_TIMEOUT_S,
             ping_interval=None,
             server_header=None,
-            logger=LIBRARY_LOGGER,
+            logger=WEBSOCKETS_LOGGER,
         )
         self._loop = asyncio.get_running_loop()
-        self._sweeping = asyncio.create_task(self._sweep())
+        self._sweep_task = asyncio.create_task(self._sweep())
 
     async def close(self) -> None:
-        """Close what ``open`` opened; runs on the same loop."""
-        if self._sweeping is not None:
-            self._sweeping.cancel()
+        """Close the links and the server; runs on the loop of ``open``."""
+        if self._sweep_task is not None:
+            self._sweep_task.cancel()
         await asyncio.gather(*(link.close() for link in self._link_by_vm_id.values()))
         if self._server is not None:
             self._server.close()
@@ -260,7 +265,7 @@
         on_notice: NoticeHandler,
         started: "Future[None]",
     ) -> None:
-        """Serve until told to stop; runs on the thread of the links."""
+        """Serve until ``stop`` is called; runs on the thread of the links."""
         self._stopping = asyncio.Event()
         try:
             await self.open(on_request, on_notice)
@@ -277,7 +282,7 @@
         on_request: RequestHandler,
         on_notice: NoticeHandler,
     ) -> None:
-        """Let a peer prove who it is, then serve it."""
+        """Authenticate a peer, then serve its link."""
         sender = await self._authenticator.accept(connection)
         if sender is None:
             self._metrics.peer_links_closed.labels("unproved").inc()
@@ -286,7 +291,7 @@
         connection.protocol.max_message_size = MAX_FRAME_BYTES
         outgoing = self._link_by_vm_id.get(sender)
         if outgoing is not None:
-            outgoing.end_back_off()
+            outgoing.reset_back_off()
         link = IncomingLink(
             sender,
             Channel(connection, self._metrics),
@@ -304,29 +309,29 @@
                 del self._newest_incoming[sender]
 
     async def _sweep(self) -> None:
-        """Look at all links now and then: ping, cut the silent, close the unused.
+        """Check all links periodically: ping, abort silent ones, close unused ones.
 
-        One timer serves all links, because a timer for each would wake the process
-        hundreds of times a second.
+        One timer serves all links, as a timer per link would wake the process far more
+        often.
         """
         loop = asyncio.get_running_loop()
-        looked_at = loop.time()
+        swept_at = loop.time()
         while True:
-            await asyncio.sleep(SWEEP_S)
-            lag_s = max(0.0, loop.time() - looked_at - 2 * SWEEP_S)
-            looked_at = loop.time()
+            await asyncio.sleep(SWEEP_INTERVAL_S)
+            lag_s = max(0.0, loop.time() - swept_at - 2 * SWEEP_INTERVAL_S)
+            swept_at = loop.time()
             for incoming in list(self._incoming):
                 incoming.check(lag_s)
             for vm_id, link in list(self._link_by_vm_id.items()):
                 link.check(lag_s)
-                unused_s = looked_at - link.last_used
+                unused_s = swept_at - link.last_used
                 if unused_s > IDLE_CLOSE_S and not link.awaiting_reply:
                     del self._link_by_vm_id[vm_id]
                     await link.close()
 
 
 def _ignore(sender: str, message: Any) -> None:
-    """Take no notice before the links are open."""
+    """Drop notices before the links are open."""
 
 
 def _state_of(link: OutgoingLink | None, incoming: int) -> LinkState:
--- a/bamboovale/peers/messages.py
+++ b/bamboovale/peers/messages.py
@@ -1,4 +1,4 @@
-"""What entry VMs say to one another."""
+"""Requests, replies and notices between entry VMs."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -11,10 +11,10 @@
 @message("permit_ask")
 @dataclass(frozen=True)
 class PermitRequest:
-    """Ask the lease holder of an engine for a place.
+    """Request a place from the lease holder of an engine.
 
-    Repeated with a higher ``ask_number`` while the entry VM waits. Times are
-    durations: ``starts_within_s`` is what is left of the request's wait.
+    Repeated with a higher ``ask_number`` while the entry VM waits. ``starts_within_s``
+    is the time in seconds that the request may still wait.
     """
 
     engine_id: str
@@ -35,10 +35,10 @@
 @message("permit_reply")
 @dataclass(frozen=True)
 class PermitReply:
-    """The holder's decision: a permit, or a refusal (``code`` is an error code).
+    """The holder's decision: a permit, or a refusal with an error code.
 
-    ``elsewhere`` tells that another engine may still serve the request: the holder
-    has lost the lease, or the engine is leaving.
+    ``elsewhere`` means that another engine may serve the request, as the holder has
+    lost the lease or the engine is leaving.
     """
 
     request_id: str
@@ -52,7 +52,7 @@
 @message("permit_cancel")
 @dataclass(frozen=True)
 class PermitCancel:
-    """The entry VM gave up: drop the request, or free its permit unused."""
+    """Cancels a request: it is dropped, or its unused permit released."""
 
     engine_id: str
     request_id: str
@@ -61,9 +61,9 @@
 @message("permit_release")
 @dataclass(frozen=True)
 class PermitRelease:
-    """The run is over, or the permit will never be used.
+    """Releases a permit after its run, or because it will not be used.
 
-    ``refused`` tells that the engine did not know the adapter.
+    ``refused`` means that the engine refused the run, as the adapter was not loaded.
     """
 
     engine_id: str
@@ -74,7 +74,7 @@
 @message("permits_query")
 @dataclass(frozen=True)
 class PermitsQuery:
-    """A new holder asks which permits on its engine an entry VM still holds."""
+    """A new holder's query for the permits that an entry VM holds on its engine."""
 
     engine_id: str
 
@@ -91,10 +91,10 @@
 @message("status")
 @dataclass(frozen=True)
 class StatusNotice:
-    """What an entry VM tells its peers every hint interval.
+    """State of an entry VM, sent to its peers every hint interval.
 
-    ``log_reachable`` is what tells a log that is down from a VM that is cut off;
-    ``serving`` tells whether callers may be sent there.
+    ``log_reachable`` distinguishes an outage of the log from a partitioned VM;
+    ``serving`` tells whether the VM accepts callers.
     """
 
     incarnation: str
@@ -109,7 +109,7 @@
 @message("records")
 @dataclass(frozen=True)
 class RecordsNotice:
-    """Log records passed on, so that one VM's slow log does not delay it."""
+    """Log records forwarded to peers whose own reads of the log are slow."""
 
     stream: str
     first_offset: int
@@ -119,13 +119,13 @@
 @message("catalogue_query")
 @dataclass(frozen=True)
 class CatalogueQuery:
-    """A starting VM asks a peer for a whole catalogue."""
+    """Request of a starting VM for a snapshot of the catalogue."""
 
 
 @message("catalogue_answer")
 @dataclass(frozen=True)
 class CatalogueAnswer:
-    """A whole catalogue, as a snapshot, or None from a VM that has none."""
+    """A snapshot of the catalogue, None if the peer has none."""
 
     snapshot: Any
 
@@ -133,7 +133,7 @@
 @message("revision_query")
 @dataclass(frozen=True)
 class RevisionQuery:
-    """Ask for the catalogue revision in force at a peer."""
+    """Request for the catalogue revision that is in force at a peer."""
 
 
 @message("revision_answer")
@@ -147,7 +147,7 @@
 @message("load_turn_ask")
 @dataclass(frozen=True)
 class LoadGrantRequest:
-    """Ask the load scheduler for a turn at the weight store; repeated while wanted."""
+    """Request to the load scheduler for a load grant; repeated while wanted."""
 
     engine_id: str
     lora_name: str
@@ -157,7 +157,7 @@
 @message("load_turn_given")
 @dataclass(frozen=True)
 class LoadGrantReply:
-    """A turn of one scheduler; ``scheduler`` and ``number`` together name it."""
+    """A load grant; ``scheduler`` and ``number`` together identify it."""
 
     engine_id: str
     lora_name: str
@@ -168,7 +168,7 @@
 @message("load_turn_ended")
 @dataclass(frozen=True)
 class LoadGrantRelease:
-    """The turn is over; unless ``used``, the store served nothing for it."""
+    """Releases a load grant; unless ``used``, no weights were read under it."""
 
     scheduler: str
     number: int
@@ -179,7 +179,7 @@
 @message("answer_query")
 @dataclass(frozen=True)
 class AnswerQuery:
-    """Ask the VM that ran a keyed attempt for its answer."""
+    """Request for the answer of a keyed attempt, to the VM that ran it."""
 
     attempt_id: str
 
@@ -187,7 +187,7 @@
 @message("answer_kept")
 @dataclass(frozen=True)
 class AnswerKept:
-    """What that VM knows; ``state`` is a value of ``claims.answers.AnswerState``."""
+    """The stored answer; ``state`` is a value of ``claims.answers.AnswerState``."""
 
     attempt_id: str
     state: str
--- a/bamboovale/peers/outgoing.py
+++ b/bamboovale/peers/outgoing.py
@@ -1,6 +1,6 @@
-"""The link over which this entry VM sends its own requests to one peer.
+"""The link on which this entry VM sends its requests to one peer.
 
-Everything here runs on the event loop's thread of :class:`PeerLinks`.
+Everything runs on the event loop's thread of :class:`PeerLinks`.
 """
 
 import asyncio
@@ -19,29 +19,29 @@
 from bamboovale.peers.frames import PING, Frame, FrameKind, decode_frame
 from bamboovale.peers.keepalive import Keepalive, KeepaliveAction
 
-# The first pause is shorter than a restart, the last one shorter than a lease.
+# Shorter than a restart at first, and always shorter than a lease.
 BACK_OFF_FIRST_S = 0.05
 BACK_OFF_LAST_S = 1.0
 
 
 class PeerUnreachableError(Exception):
-    """The message was not sent: nothing of it can have arrived."""
+    """The message was not sent, so that it cannot have arrived."""
 
 
 class PeerTimeoutError(Exception):
-    """No reply in time; the message may have arrived."""
+    """No reply arrived in time; the message may have arrived."""
 
 
 class PeerLostError(Exception):
-    """The link broke or the peer failed before it replied; it may have arrived."""
+    """The link broke or the peer failed before the reply; it may have arrived."""
 
 
 @dataclass(eq=False)
-class Outbound:
-    """A message on its way; ``future`` is None for a notice.
+class OutboundMessage:
+    """A queued or sent message; ``future`` is None for a notice.
 
-    ``sent`` is set before the first byte goes out. Until then the message counts as
-    not sent, and dropping it is safe.
+    ``sent`` is set before the first byte is sent; until then the message can be dropped
+    safely.
     """
 
     number: int
@@ -51,7 +51,7 @@
     timer: asyncio.TimerHandle | None = field(default=None, repr=False)
 
     def settle(self, result: Any) -> None:
-        """Give the future its result or exception, unless it has one."""
+        """Set the result or exception of the future, unless it is done."""
         if self.timer is not None:
             self.timer.cancel()
         if self.future is None:
@@ -61,24 +61,24 @@
                 self.future.set_exception(result)
             else:
                 self.future.set_result(result)
-        except InvalidStateError:  # cancelled by its owner
+        except InvalidStateError:  # cancelled by the caller
             return
 
     def expire(self) -> None:
-        """Give up waiting; says truly whether the message was sent."""
+        """Fail the future after its timeout, by whether the message was sent."""
         if self.sent:
-            self.settle(PeerTimeoutError("no reply in time"))
+            self.settle(PeerTimeoutError("no reply before the timeout"))
         else:
-            self.settle(PeerUnreachableError("not sent in time"))
+            self.settle(PeerUnreachableError("not sent before the timeout"))
 
     @property
-    def given_up(self) -> bool:
-        """Tell whether nobody waits for this message any more."""
+    def is_abandoned(self) -> bool:
+        """Return whether the future is done before the message was sent."""
         return self.future is not None and self.future.done()
 
 
 class OutgoingLink:
-    """Connects when there is something to send; reconnects with back-off."""
+    """Connects when a message is to be sent; reconnects with back-off."""
 
     def __init__(
         self,
@@ -92,8 +92,8 @@
         self._metrics = metrics
         self._on_notice = on_notice
         self._loop = asyncio.get_running_loop()
-        self._queue: deque[Outbound] = deque()
-        self._sent_by_number: dict[int, Outbound] = {}
+        self._queue: deque[OutboundMessage] = deque()
+        self._sent_by_number: dict[int, OutboundMessage] = {}
         self._wake = asyncio.Event()
         self._channel: Channel | None = None
         self._keepalive = Keepalive(self._loop.time())
@@ -112,32 +112,32 @@
 
     @property
     def back_off_s(self) -> float:
-        """Return for how long no new connection is tried."""
+        """Return the seconds until the next connection attempt is allowed."""
         return max(0.0, self._retry_at - self._loop.time())
 
     @property
     def round_trip_s(self) -> float:
-        """Return the last ping's round trip in seconds; 0 when not known."""
+        """Return the round-trip time of the last ping in seconds, 0 if not known."""
         return self._keepalive.round_trip_s
 
     @property
     def queued(self) -> int:
-        """Return how many messages wait to be sent."""
+        """Return the number of messages that are not sent yet."""
         return len(self._queue)
 
     @property
     def awaiting_reply(self) -> int:
-        """Return how many requests were sent and have no reply."""
+        """Return the number of requests in flight."""
         return len(self._sent_by_number)
 
-    def submit(self, item: Outbound, timeout_s: float | None) -> None:
-        """Queue a message, or fail it at once if it cannot be sent soon."""
+    def submit(self, item: OutboundMessage, timeout_s: float | None) -> None:
+        """Queue a message; fail it at once during back-off or if the queue is full."""
         self.last_used = self._loop.time()
         if self._task is None and self._loop.time() < self._retry_at:
-            self._refuse(item, f"unreachable a moment ago: {self.last_error}")
+            self._fail_unsent(item, f"backing off after: {self.last_error}")
             return
         if len(self._queue) >= QUEUE_LIMIT:
-            self._refuse(item, "too many messages wait on this link")
+            self._fail_unsent(item, "the queue of the link is full")
             return
         if timeout_s is not None:
             item.timer = self._loop.call_later(timeout_s, self._expire, item)
@@ -146,7 +146,7 @@
             self._task = self._loop.create_task(self._run())
 
     def check(self, lag_s: float) -> None:
-        """Ping the peer if that is due, or cut the link to a silent one."""
+        """Ping the peer if that is due, or abort the link to a silent one."""
         if self._channel is None:
             return
         check = self._keepalive.check(
@@ -155,35 +155,35 @@
             lag_s=lag_s,
         )
         if check is KeepaliveAction.PING:
-            self._enqueue(Outbound(0, PING))
+            self._enqueue(OutboundMessage(0, PING))
         elif check is KeepaliveAction.SILENT:
             self._channel.abort("silent")
 
     def abort(self) -> None:
-        """End the connection without a word; what was sent over it fails."""
+        """Abort the connection; its requests in flight fail."""
         if self._channel is not None:
             self._channel.abort("silent")
 
     async def close(self) -> None:
-        """Close the link; what waits on it fails."""
+        """Close the link; its messages fail."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
-    def _enqueue(self, item: Outbound) -> None:
+    def _enqueue(self, item: OutboundMessage) -> None:
         self._queue.append(item)
         self._wake.set()
 
-    def _refuse(self, item: Outbound, why: str) -> None:
+    def _fail_unsent(self, item: OutboundMessage, why: str) -> None:
         self._metrics.peer_messages_dropped.inc()
         item.settle(PeerUnreachableError(why))
 
-    def _expire(self, item: Outbound) -> None:
+    def _expire(self, item: OutboundMessage) -> None:
         self._sent_by_number.pop(item.number, None)
         item.expire()
 
     async def _run(self) -> None:
-        """Connect and serve until the link breaks."""
+        """Connect and serve until the connection ends."""
         cause = "closed"
         try:
             channel = await self._open_channel()
@@ -195,7 +195,7 @@
             await self._serve(channel)
             cause = channel.close_cause
         except (OSError, TimeoutError, PeerUnreachableError) as error:
-            self._note_failure(error)
+            self._start_back_off(error)
             cause = "unreachable"
         finally:
             self._channel = None
@@ -204,7 +204,7 @@
             self._fail_all(cause)
 
     async def _serve(self, channel: Channel) -> None:
-        """Read and write; the first of them to end ends both."""
+        """Read and write until either of them ends."""
         tasks = [
             asyncio.create_task(self._read(channel)),
             asyncio.create_task(self._write(channel)),
@@ -221,7 +221,7 @@
         while True:
             while self._queue:
                 item = self._queue.popleft()
-                if item.given_up:
+                if item.is_abandoned:
                     continue
                 item.sent = True
                 if item.future is not None:
@@ -238,15 +238,15 @@
             while True:
                 data = await channel.receive()
                 self._keepalive.note_received(self._loop.time())
-                self._take(decode_frame(data))
+                self._dispatch(decode_frame(data))
         except ConnectionClosed:
             return
         except BadMessageError:
             self._metrics.peer_bad_messages.inc()
             channel.abort("bad_message")
 
-    def _take(self, frame: Frame) -> None:
-        """Settle the request that a frame answers, or hand on a notice."""
+    def _dispatch(self, frame: Frame) -> None:
+        """Settle the request that a frame replies to, or pass on a notice."""
         if frame.kind is FrameKind.PONG:
             return
         if frame.kind is FrameKind.NOTICE:
@@ -258,26 +258,26 @@
         elif frame.kind is FrameKind.FAILURE:
             result = PeerLostError(f"the peer failed: {frame.message}")
         else:
-            raise BadMessageError("a request came over a link for replies")
-        if item is not None:  # else it came after its timeout
+            raise BadMessageError("unexpected request on an outgoing link")
+        if item is not None:  # else the request has timed out
             item.settle(result)
 
-    def _note_failure(self, error: Exception) -> None:
+    def _start_back_off(self, error: Exception) -> None:
         """Set the time before which no new connection is tried.
 
-        Without it every request to a dead peer would wait for a connection of its
-        own. The random part keeps peers of a restarted VM from coming all at once.
+        Without back-off every request to a dead peer would wait for a connection
+        attempt. Jitter keeps the peers of a restarted VM from reconnecting at once.
         """
         pause = min(BACK_OFF_LAST_S, BACK_OFF_FIRST_S * 2**self._failures)
         self._failures = min(self._failures + 1, 16)
         self._retry_at = self._loop.time() + pause * random.uniform(0.5, 1.0)
         self.last_error = str(error) or type(error).__name__
 
-    def end_back_off(self) -> None:
-        """Connect again at once when there is something to send.
+    def reset_back_off(self) -> None:
+        """Allow a connection attempt at once, as the peer has just opened a link.
 
-        For a peer that has just proved over a link of its own that it lives. Without
-        it, what we tell a VM that comes back is dropped for up to a second.
+        Without this, messages to a peer that has restarted would be dropped until the
+        back-off ends.
         """
         self._retry_at = 0.0
         self._failures = 0
@@ -288,4 +288,4 @@
         for item in sent.values():
             item.settle(PeerLostError(f"the link broke: {cause}"))
         for item in queued:
-            self._refuse(item, self.last_error or f"the link broke: {cause}")
+            self._fail_unsent(item, self.last_error or f"the link broke: {cause}")
--- a/tests/test_peer_codec.py
+++ b/tests/test_peer_codec.py
@@ -1,4 +1,4 @@
-"""The codec of messages between entry VMs."""
+"""Codec of messages between entry VMs."""
 
 import subprocess
 import sys
@@ -23,7 +23,7 @@
 
 
 class Colour(StrEnum):
-    """An enum member of the sample."""
+    """The enum of the sample message."""
 
     RED = "red"
     BLUE = "blue"
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Inner:
-    """A nested data class, not registered."""
+    """A nested data class that is not registered as a message."""
 
     name: str
     weight: float = 1.0
@@ -40,7 +40,7 @@
 @message("test_other")
 @dataclass(frozen=True)
 class Other:
-    """A second message, for the choice."""
+    """A second message, for a union."""
 
     number: int
 
@@ -48,7 +48,7 @@
 @row
 @dataclass(frozen=True)
 class Row:
-    """A data class of which a message holds many."""
+    """A data class that is encoded as an array."""
 
     name: str
     number: int
@@ -105,17 +105,17 @@
 
 
 class TestRoundTrip:
-    """What is encoded comes back the same."""
+    """Decoding returns what was encoded."""
 
     @given(SAMPLES)
-    def test_every_message_comes_back(self, sample: Sample) -> None:
+    def test_every_message_round_trips(self, sample: Sample) -> None:
         assert decode(encode(sample)) == sample
 
-    def test_defaults_are_left_out(self) -> None:
+    def test_defaults_are_omitted(self) -> None:
         sample = Sample("", Colour.RED, Inner("x"))
         assert cbor2.loads(encode(sample)) == GOOD
 
-    def test_the_pure_form_of_the_library_writes_the_same_bytes(self) -> None:
+    def test_the_pure_python_implementation_writes_the_same_bytes(self) -> None:
         script = (
             "import sys; sys.modules['_cbor2'] = None\n"
             "import cbor2, bamboovale.peers.codec as codec\n"
@@ -137,7 +137,7 @@
 
 
 class TestBadMessages:
-    """Whatever does not fit is one typed error."""
+    """Any invalid input raises BadMessageError."""
 
     @pytest.mark.parametrize(
         "change",
@@ -181,22 +181,22 @@
             decode(frame)
 
     @given(st.binary(max_size=200))
-    def test_garbage_is_never_another_error(self, frame: bytes) -> None:
+    def test_garbage_raises_no_other_error(self, frame: bytes) -> None:
         for read in (decode, decode_frame):
             with pytest.raises(BadMessageError):
                 read(frame)
 
-    def test_an_unregistered_class_cannot_be_sent(self) -> None:
+    def test_an_unregistered_class_cannot_be_encoded(self) -> None:
         with pytest.raises(BadMessageError):
             encode(Inner("x"))
 
-    def test_a_message_that_is_too_large_cannot_be_sent(self) -> None:
+    def test_a_message_that_is_too_large_cannot_be_encoded(self) -> None:
         sample = Sample("x" * MAX_FRAME_BYTES, Colour.RED, Inner("x"))
         with pytest.raises(BadMessageError):
             encode_frame(FrameKind.REQUEST, 1, sample)
 
     @pytest.mark.parametrize("head", [[9, 1], [True, 1], [0, -1], [0, "1"], [0]])
-    def test_a_wrong_head_of_a_frame(self, head: list[Any]) -> None:
+    def test_a_wrong_kind_or_number_of_a_frame(self, head: list[Any]) -> None:
         with pytest.raises(BadMessageError):
             decode_frame(cbor2.dumps([*head, GOOD]))
 
@@ -207,14 +207,14 @@
 
 
 class TestRows:
-    """Data classes that go as arrays."""
+    """Data classes that are encoded as arrays."""
 
     @given(st.lists(rows, max_size=5))
-    def test_what_is_encoded_is_decoded(self, items: list[Row]) -> None:
+    def test_rows_round_trip(self, items: list[Row]) -> None:
         sent = Rows(tuple(items))
         assert decode(encode(sent)) == sent
 
-    def test_trailing_defaults_are_left_out(self) -> None:
+    def test_trailing_defaults_are_omitted(self) -> None:
         value = cbor2.loads(encode(Rows((Row("a", 1), Row("b", 2, note="x")))))
         assert value["rows"] == [["a", 1], ["b", 2, 1.0, "x"]]
 
@@ -222,7 +222,7 @@
         "value",
         [["a"], ["a", 1, 1.0, "", "more"], ["a", "1"], [1, 1], "ab", {"name": "a"}],
     )
-    def test_what_is_no_row_is_refused(self, value: Any) -> None:
+    def test_an_invalid_row_is_rejected(self, value: Any) -> None:
         frame = cbor2.dumps({"type": "test_rows", "rows": [value]})
         with pytest.raises(BadMessageError):
             decode(frame)
--- a/tests/test_peer_links.py
+++ b/tests/test_peer_links.py
@@ -1,4 +1,4 @@
-"""Links between entry VMs: two nodes in one process, and what may go wrong."""
+"""Links between entry VMs: two nodes in one process, with faults."""
 
 import contextlib
 import socket
@@ -34,14 +34,14 @@
 
 KEY = "a key of the tests"
 
-# Pings find a silent peer within two seconds; the rest is for a busy machine.
-SILENCE_FOUND_WITHIN_S = 3.0
+# Pings detect a silent peer within two seconds; the rest allows for a busy machine.
+SILENCE_DETECTED_WITHIN_S = 3.0
 
 
 @message("test_ask")
 @dataclass(frozen=True)
-class Ask:
-    """A request or notice of the tests."""
+class Query:
+    """The request and notice that the tests send."""
 
     text: str
 
@@ -49,7 +49,7 @@
 @message("test_answer")
 @dataclass(frozen=True)
 class Answer:
-    """The reply to it."""
+    """The reply that the tests send."""
 
     text: str
 
@@ -78,14 +78,16 @@
             self.metrics,
         )
 
-    def on_request(self, sender: str, ask: Ask, reply: Callable[[Any], None]) -> None:
-        self.requests.append((sender, ask))
-        if ask.text == "fail":
+    def on_request(
+        self, sender: str, query: Query, reply: Callable[[Any], None]
+    ) -> None:
+        self.requests.append((sender, query))
+        if query.text == "fail":
             raise RuntimeError("asked to")
-        if ask.text == "late":
+        if query.text == "late":
             threading.Timer(0.1, reply, [Answer("late")]).start()
-        elif ask.text != "ignore":
-            reply(Answer(ask.text * 2))
+        elif query.text != "ignore":
+            reply(Answer(query.text * 2))
 
     def on_notice(self, sender: str, notice: Any) -> None:
         self.notices.append((sender, notice))
@@ -95,7 +97,7 @@
         return self
 
     def ask(self, vm_id: str, text: str, timeout_s: float = 5.0) -> Any:
-        return self.links.request(vm_id, Ask(text), timeout_s).result(10)
+        return self.links.request(vm_id, Query(text), timeout_s).result(10)
 
     def count(self, name: str) -> float:
         value = self.metrics.registry.get_sample_value(f"bamboovale_{name}")
@@ -126,7 +128,7 @@
 
 
 class Relay:
-    """Passes bytes between two nodes until it is told to drop a direction."""
+    """Relays bytes between two nodes; drops a direction or pauses on request."""
 
     def __init__(self, target: int) -> None:
         self.drop_to_target = False
@@ -175,7 +177,7 @@
 
 @pytest.fixture
 def relayed(ports: dict[str, int]) -> Iterator[tuple[Node, Node, Relay]]:
-    """Yield a and b, where a reaches b through a relay."""
+    """Yield nodes a and b, and the relay through which a connects to b."""
     relay = Relay(ports["b"])
     nodes = Node("a", ports | {"b": relay.port}), Node("b", ports)
     with running(*nodes):
@@ -184,14 +186,14 @@
 
 
 class TestKeepalive:
-    """When a peer is pinged and when it counts as silent."""
+    """When to ping a peer and when it is silent."""
 
     def check(
         self, keepalive: Keepalive, now: float, lag_s: float = 0
     ) -> KeepaliveAction:
         return keepalive.check(now, awaiting_reply=True, lag_s=lag_s)
 
-    def test_a_peer_that_owes_a_reply_is_pinged_soon_and_others_seldom(self) -> None:
+    def test_pings_are_more_frequent_while_a_request_is_in_flight(self) -> None:
         keepalive = Keepalive(0.0)
         idle = {"awaiting_reply": False, "lag_s": 0.0}
         assert keepalive.check(PING_INTERVAL_S, **idle) is KeepaliveAction.NOTHING
@@ -207,11 +209,10 @@
         assert self.check(keepalive, 1.0 + PING_TIMEOUT_S) is KeepaliveAction.NOTHING
         assert self.check(keepalive, 1.1 + PING_TIMEOUT_S) is KeepaliveAction.SILENT
 
-    def test_our_own_pause_is_not_the_peers_silence(self) -> None:
-        """Our process is frozen for five seconds right after a ping.
+    def test_a_pause_of_our_process_does_not_count_as_silence(self) -> None:
+        """Our process freezes for five seconds after a ping.
 
-        The peer's answer lies unread in our socket. If the pause counted, every
-        link would be cut at once, and requests would end with an unknown outcome.
+        Guards against aborting every link, which leaves requests with unknown outcome.
         """
         keepalive = Keepalive(0.0)
         assert self.check(keepalive, 1.0) is KeepaliveAction.PING
@@ -222,28 +223,28 @@
 class TestMessages:
     """Requests, replies and notices between two healthy nodes."""
 
-    def test_a_request_gets_its_reply_and_names_its_sender(self, pair) -> None:
+    def test_a_request_gets_its_reply_and_carries_its_sender(self, pair) -> None:
         a, b = pair
         assert a.ask("b", "x") == Answer("xx")
         assert b.ask("a", "y") == Answer("yy")
-        assert b.requests == [("a", Ask("x"))]
+        assert b.requests == [("a", Query("x"))]
 
     def test_replies_from_other_threads_reach_the_right_request(self, pair) -> None:
         a, _ = pair
-        late = a.links.request("b", Ask("late"), 5)
-        futures = [a.links.request("b", Ask(str(n)), 5) for n in range(200)]
+        late = a.links.request("b", Query("late"), 5)
+        futures = [a.links.request("b", Query(str(n)), 5) for n in range(200)]
         answers = [future.result(5).text for future in futures]
         assert answers == [str(n) * 2 for n in range(200)]
         assert late.result(5) == Answer("late")
 
     def test_a_notice_arrives_once(self, pair) -> None:
         a, b = pair
-        a.links.notify("b", Ask("news"))
-        a.links.notify_all(["nobody", "b"], Ask("more"))
-        expected = [("a", Ask("news")), ("a", Ask("more"))]
+        a.links.notify("b", Query("first"))
+        a.links.notify_all(["nobody", "b"], Query("second"))
+        expected = [("a", Query("first")), ("a", Query("second"))]
         eventually(lambda: b.notices == expected)
 
-    def test_a_handler_that_raises_is_told_at_once(self, pair) -> None:
+    def test_an_exception_of_a_handler_is_reported_at_once(self, pair) -> None:
         a, _ = pair
         with pytest.raises(PeerLostError, match="RuntimeError"):
             a.ask("b", "fail")
@@ -253,7 +254,7 @@
         a, _ = pair
         assert len(a.ask("b", "x" * 1_000_000).text) == 2_000_000
 
-    def test_the_state_of_links_is_shown(self, pair) -> None:
+    def test_link_states(self, pair) -> None:
         a, b = pair
         a.ask("b", "x")
         assert a.links.link_states()["b"].outgoing == "open"
@@ -261,7 +262,7 @@
 
 
 class TestUnreachable:
-    """Nothing was sent: the caller may try elsewhere."""
+    """Messages that were not sent, so that they can be retried elsewhere."""
 
     def test_an_unknown_peer(self, pair) -> None:
         with pytest.raises(PeerUnreachableError, match="not known"):
@@ -270,18 +271,14 @@
     def test_a_peer_that_does_not_listen_fails_fast(self, ports) -> None:
         a = Node("a", ports)
         with running(a):
-            for _ in range(2):  # the second one falls into the back-off
-                began = time.monotonic()
+            for _ in range(2):  # the second attempt is during back-off
+                started_at = time.monotonic()
                 with pytest.raises(PeerUnreachableError):
                     a.ask("b", "x")
-                assert time.monotonic() - began < 1
-
-    def test_a_peer_that_reaches_us_is_reached_at_once(self, ports) -> None:
-        """A VM is killed and starts again while the others go on telling it things.
+                assert time.monotonic() - started_at < 1
 
-        Their links to it back off, up to a second. It came back and asked for what
-        they had; their answers were dropped until the back-off ended.
-        """
+    def test_a_peer_that_connects_to_us_ends_its_back_off(self, ports) -> None:
+        """Guards against messages to a restarted VM dropped during back-off."""
         a, b = Node("a", ports), Node("b", ports)
         with running(a):
             link = None
@@ -306,7 +303,7 @@
 
 
 class TestAuthentication:
-    """Only holders of the key, under the name that was meant, are linked."""
+    """Links need the shared key and the expected VM id."""
 
     def test_a_wrong_key_is_refused_both_ways(self, ports) -> None:
         a, b = Node("a", ports), Node("b", ports, key="another key of the tests")
@@ -317,11 +314,7 @@
             assert a.requests == b.requests == []
 
     def test_another_vm_at_the_address_is_refused(self, ports) -> None:
-        """A VM is replaced and another one gets its address.
-
-        The list of VMs lags, so a peer still looks there for the old one. Its request
-        must not be taken by the new VM.
-        """
+        """Guards against requests for a replaced VM that its successor accepts."""
         b = Node("b", ports)
         a = Node("a", ports | {"gone": ports["b"]})
         with running(a, b):
@@ -329,35 +322,35 @@
                 a.ask("gone", "x")
             assert b.requests == []
 
-    def test_without_a_key_only_loopback_is_called(self, ports) -> None:
+    def test_without_a_key_only_loopback_is_allowed(self, ports) -> None:
         a = Node("a", ports, key="")
         a.links._authenticator._address_of = lambda vm_id: ("192.0.2.1", 9)
         with running(a), pytest.raises(PeerUnreachableError, match="loopback"):
             a.ask("b", "x")
 
-    def test_a_mirrored_proof_is_refused(self, pair, ports) -> None:
-        """A stranger sends each proof back to the one who made it."""
+    def test_a_reflected_proof_is_refused(self, pair, ports) -> None:
+        """A client without the key sends the proof of the other side back."""
         b = pair[1]
-        with connect(f"ws://127.0.0.1:{ports['b']}/", compression=None) as stranger:
+        with connect(f"ws://127.0.0.1:{ports['b']}/", compression=None) as client:
             hello = {"type": "hello", "caller": "a", "called": "b", "nonce": b"n" * 16}
-            stranger.send(cbor2.dumps(hello))
-            challenge = cbor2.loads(stranger.recv())
-            stranger.send(cbor2.dumps({"type": "proof", "proof": challenge["proof"]}))
+            client.send(cbor2.dumps(hello))
+            challenge = cbor2.loads(client.recv())
+            client.send(cbor2.dumps({"type": "proof", "proof": challenge["proof"]}))
             with pytest.raises(ConnectionClosed):
-                stranger.recv(timeout=3)
+                client.recv(timeout=3)
         assert b.links.link_states() == {}
 
 
-class TestStrangers:
-    """Bytes that are no message of ours."""
+class TestUnauthenticatedClients:
+    """Connections that do not complete a handshake."""
 
     def test_garbage_closes_its_own_connection_only(self, pair, ports) -> None:
         a, b = pair
         assert a.ask("b", "x") == Answer("xx")
-        with connect(f"ws://127.0.0.1:{ports['b']}/", compression=None) as stranger:
-            stranger.send(b"\xff garbage")
+        with connect(f"ws://127.0.0.1:{ports['b']}/", compression=None) as client:
+            client.send(b"\xff garbage")
             with pytest.raises(ConnectionClosed):
-                stranger.recv(timeout=3)
+                client.recv(timeout=3)
         with socket.create_connection(("127.0.0.1", ports["b"])) as raw:
             raw.sendall(b"\x00garbage\r\n\r\n")
             raw.settimeout(3)
@@ -367,33 +360,29 @@
         eventually(lambda: b.count("peer_bad_messages_total") == 1)
         assert a.ask("b", "x") == Answer("xx")
 
-    def test_a_silent_stranger_is_dropped(self, pair, ports) -> None:
-        began = time.monotonic()
+    def test_a_silent_client_is_disconnected(self, pair, ports) -> None:
+        started_at = time.monotonic()
         with (
-            connect(f"ws://127.0.0.1:{ports['b']}/", compression=None) as stranger,
+            connect(f"ws://127.0.0.1:{ports['b']}/", compression=None) as client,
             pytest.raises(ConnectionClosed),
         ):
-            stranger.recv(timeout=5)
-        assert time.monotonic() - began < 3
+            client.recv(timeout=5)
+        assert time.monotonic() - started_at < 3
 
 
 class TestBrokenLinks:
-    """Peers that die, freeze or read nothing."""
+    """Peers that fail, freeze or read nothing."""
 
     def test_a_request_ends_when_its_peer_stops(self, pair) -> None:
-        """The peer stops while a request waits there.
-
-        The caller must learn at once that its outcome is open, and not wait for the
-        timeout.
-        """
+        """Guards against a request that waits for its timeout after a stop."""
         a, b = pair
-        future = a.links.request("b", Ask("ignore"), 30)
+        future = a.links.request("b", Query("ignore"), 30)
         eventually(lambda: bool(b.requests))
         b.links.stop()
         with pytest.raises(PeerLostError):
             future.result(5)
 
-    def test_a_restarted_peer_is_reached_again(self, pair, ports) -> None:
+    def test_a_restarted_peer_is_reachable_again(self, pair, ports) -> None:
         a, b = pair
         assert a.ask("b", "x") == Answer("xx")
         b.links.stop()
@@ -408,45 +397,47 @@
             eventually(reached)
 
     @pytest.mark.parametrize("direction", ["drop_to_target", "drop_from_target"])
-    def test_one_way_silence_is_found(self, relayed, direction, monkeypatch) -> None:
-        """A switch drops one direction of a link; no side gets a reset.
+    def test_one_way_silence_is_detected(self, relayed, direction, monkeypatch) -> None:
+        """One direction of a link is dropped, without a reset.
 
-        Requests would wait for their timeouts one after the other. The pings see it
-        in two seconds, and open requests end as lost.
+        Guards against requests that wait for their timeouts one after the other.
         """
-        # The called side waits for the rare pings of an unused link; here it need not.
-        monkeypatch.setattr(incoming, "CALLED_SILENCE_S", 1.5)
+        # Shortens the wait for the rare pings of an idle link.
+        monkeypatch.setattr(incoming, "INCOMING_SILENCE_S", 1.5)
         a, b, relay = relayed
         assert a.ask("b", "x") == Answer("xx")
         setattr(relay, direction, True)
-        began = time.monotonic()
+        started_at = time.monotonic()
         with pytest.raises(PeerLostError):
             a.ask("b", "ignore", timeout_s=30)
-        assert time.monotonic() - began < SILENCE_FOUND_WITHIN_S
+        assert time.monotonic() - started_at < SILENCE_DETECTED_WITHIN_S
         eventually(lambda: b.links.link_states().get("a") is None)
 
-    def test_a_timeout_says_that_the_request_may_have_arrived(self, pair) -> None:
+    def test_a_timeout_means_that_the_request_may_have_arrived(self, pair) -> None:
         a, b = pair
         with pytest.raises(PeerTimeoutError):
             a.ask("b", "ignore", timeout_s=0.2)
-        assert b.requests == [("a", Ask("ignore"))]
+        assert b.requests == [("a", Query("ignore"))]
 
-    def test_a_slow_reader_bounds_the_queue_and_not_the_caller(self, relayed) -> None:
-        """A peer stops reading while we send much to it.
+    def test_a_slow_reader_does_not_block_callers_or_grow_the_queue(
+        self, relayed
+    ) -> None:
+        """A peer stops reading while we send to it.
 
-        Its socket buffers fill, then ours, then the queue. Callers must not block
-        and memory must not grow: the rest fails as not sent, and the link is cut.
+        Guards against blocked callers and unbounded memory: further messages fail as
+        not sent, and the link is aborted.
         """
         a, _, relay = relayed
         assert a.ask("b", "x") == Answer("xx")
         relay.paused = True
-        began = time.monotonic()
+        started_at = time.monotonic()
         futures = [
-            a.links.request("b", Ask("y" * 50_000), 30) for _ in range(QUEUE_LIMIT * 2)
+            a.links.request("b", Query("y" * 50_000), 30)
+            for _ in range(QUEUE_LIMIT * 2)
         ]
-        assert time.monotonic() - began < 2
+        assert time.monotonic() - started_at < 2
         errors = [future.exception(10) for future in futures]
-        assert time.monotonic() - began < 10
+        assert time.monotonic() - started_at < 10
         assert {type(error) for error in errors} <= {
             PeerUnreachableError,
             PeerLostError,
