--- a/bamboovale/decisions/engine_places.py
+++ b/bamboovale/decisions/engine_places.py
@@ -132,7 +132,7 @@
 
     # Events from entry VMs.
 
-    def on_ask(self, ask: QueuedRequest, now: float) -> list[Action]:
+    def on_request(self, ask: QueuedRequest, now: float) -> list[Action]:
         """Queue a request, or refuse it at once."""
         if ask.key is not None:
             self.slots.note_version(ask.key, ask.version, now)
--- a/bamboovale/emulator/owner.py
+++ b/bamboovale/emulator/owner.py
@@ -80,7 +80,7 @@
             reply(None)
             return
         self._reply_by_ask[ask.ask_id] = reply
-        self._carry_out(self.places.on_ask(ask, self._env.now))
+        self._carry_out(self.places.on_request(ask, self._env.now))
 
     def started(self, ask_id: str) -> None:
         """Note a run's first event."""
--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -115,7 +115,7 @@
             reply(PlaceReply(ask.ask_id, reason="engine is lost", not_owner=True))
             return
         self._reply_by_ask[ask.ask_id] = reply
-        self._carry_out(self.places.on_ask(ask, now))
+        self._carry_out(self.places.on_request(ask, now))
 
     def cancel(self, ask_id: str) -> None:
         """Drop a request."""
--- a/tests/engine_load_play.py
+++ b/tests/engine_load_play.py
@@ -185,7 +185,7 @@
         )
         self._arrived_by_ask[ask.ask_id] = (self._now, tokens)
         engine = self._engine_by_name[name]
-        self._after(HOP_S, lambda: self._do(engine, engine.places.on_ask, ask))
+        self._after(HOP_S, lambda: self._do(engine, engine.places.on_request, ask))
 
     # Owners and engines.
 
--- a/tests/test_decisions_engine_places.py
+++ b/tests/test_decisions_engine_places.py
@@ -47,7 +47,7 @@
 
 def load(engine: EnginePlaces, adapter: str, now: float) -> None:
     """Bring an adapter in, by a request that ends at once."""
-    [order] = engine.on_ask(ask(f"load-{adapter}", adapter, now), now)
+    [order] = engine.on_request(ask(f"load-{adapter}", adapter, now), now)
     assert order == OrderLoad(MODEL, adapter, 1)
     engine.on_order_done(order, now, at_once=False)
     later = now + 1.0
@@ -69,7 +69,7 @@
         """
         engine = places(slots=1)
         load(engine, "a1", 0.0)
-        [order] = engine.on_ask(ask("r", "a2", 2.0), 2.0)
+        [order] = engine.on_request(ask("r", "a2", 2.0), 2.0)
         assert order == OrderUnload(MODEL, "a1")
         assert engine.on_order_done(order, 2.0, at_once=False) == []
         assert engine.on_facts(facts(2.4, a1=1), 2.4) == []
@@ -86,7 +86,7 @@
         """
         engine = places(slots=1)
         load(engine, "a1", 0.0)
-        [order] = engine.on_ask(ask("r", "a2", 2.0), 2.0)
+        [order] = engine.on_request(ask("r", "a2", 2.0), 2.0)
         [order] = engine.on_order_done(order, 2.0, at_once=True)
         assert order == OrderLoad(MODEL, "a2", 1)
         engine.on_order_done(order, 2.0, at_once=False)
@@ -100,20 +100,20 @@
         which then arrives in a slot that was given away: one too many, and a crash.
         """
         engine = places(slots=1)
-        [order] = engine.on_ask(ask("r1", "a1"), 0.0)
+        [order] = engine.on_request(ask("r1", "a1"), 0.0)
         engine.on_order_done(order, 0.0, at_once=False)
         engine.decide(0.4)
         engine.on_cancel("r1", 0.4)
-        assert engine.on_ask(ask("r2", "a2", 0.4), 0.4) == []
+        assert engine.on_request(ask("r2", "a2", 0.4), 0.4) == []
         [order] = engine.on_facts(facts(0.6, a1=1), 0.6)
         assert order == OrderUnload(MODEL, "a1")
 
     def test_an_adapter_in_use_is_never_evicted(self) -> None:
         engine = places(slots=1)
-        [order] = engine.on_ask(ask("r1", "a1"), 0.0)
+        [order] = engine.on_request(ask("r1", "a1"), 0.0)
         engine.on_order_done(order, 0.0, at_once=False)
         assert any(isinstance(item, Grant) for item in engine.decide(1.0))
-        assert engine.on_ask(ask("r2", "a2", 1.0), 1.0) == []
+        assert engine.on_request(ask("r2", "a2", 1.0), 1.0) == []
         engine.on_facts(facts(1.2, a1=1), 1.2)
         [order] = engine.on_release("r1", 1.5)
         assert order == OrderUnload(MODEL, "a1")
@@ -126,7 +126,7 @@
         engines 507 of 5,113 requests were sent too early, each a repeat.
         """
         engine = places(slots=1)
-        [order] = engine.on_ask(ask("r", "a1"), 0.0)
+        [order] = engine.on_request(ask("r", "a1"), 0.0)
         engine.on_order_done(order, 0.0, at_once=False)
         assert engine.decide(0.29) == []
         [grant] = engine.decide(0.36)
@@ -157,7 +157,7 @@
         now: float,
     ) -> bool:
         """Load an adapter in 0.25 s; True if its request was sent before that."""
-        [unload] = engine.on_ask(ask(name, adapter, now), now)
+        [unload] = engine.on_request(ask(name, adapter, now), now)
         [order] = engine.on_order_done(unload, now, at_once=True)
         assert isinstance(order, OrderLoad)
         engine.on_order_done(order, now, at_once=False)
@@ -180,12 +180,12 @@
         Sent again at once it would be refused again, which costs retry budget.
         """
         engine = places()
-        [order] = engine.on_ask(ask("r1", "a1"), 0.0)
+        [order] = engine.on_request(ask("r1", "a1"), 0.0)
         engine.on_order_done(order, 0.0, at_once=False)
         [grant] = engine.decide(0.5)
         assert isinstance(grant, Grant) and not grant.confirmed
         engine.on_refused_run("r1", 0.5, not_held=True)
-        assert engine.on_ask(ask("r2", "a1", 0.5), 0.5) == []
+        assert engine.on_request(ask("r2", "a1", 0.5), 0.5) == []
         [grant] = engine.on_facts(facts(0.7, a1=1), 0.7)
         assert isinstance(grant, Grant) and grant.confirmed
 
@@ -201,9 +201,9 @@
         """
         engine = places(slots=1)
         load(engine, "a1", 0.0)
-        [grant] = engine.on_ask(ask("r1.0", "a1", 2.0), 2.0)
+        [grant] = engine.on_request(ask("r1.0", "a1", 2.0), 2.0)
         assert isinstance(grant, Grant)
-        engine.on_ask(ask("r2.0", "a2", 2.0), 2.0)
+        engine.on_request(ask("r2.0", "a2", 2.0), 2.0)
         assert engine.on_refused_run("r1.0", 2.1, not_held=True) == []
         assert engine.on_facts(facts(2.15), 2.15) == []
         [order] = engine.on_facts(facts(2.3, a1=1), 2.3)
@@ -222,7 +222,7 @@
         engine = places(slots=1)
         engine.on_facts(facts(1.0, a1=1), 1.0)
         engine.on_held(ask("old.0", "a1", 1.0), 1, 1.0)
-        assert engine.on_ask(ask("r.0", "a2", 1.1), 1.1) == []
+        assert engine.on_request(ask("r.0", "a2", 1.1), 1.1) == []
         [order] = engine.on_release("old.0", 1.5)
         assert order == OrderUnload(MODEL, "a1")
 
@@ -230,7 +230,7 @@
         engine = places(slots=1)
         engine.may_evict_from = 1.6
         engine.on_facts(facts(1.0, a1=1), 1.0)
-        assert engine.on_ask(ask("r.0", "a2", 1.1), 1.1) == []
+        assert engine.on_request(ask("r.0", "a2", 1.1), 1.1) == []
         [order] = engine.decide(1.7)
         assert order == OrderUnload(MODEL, "a1")
 
@@ -241,9 +241,9 @@
         """
         engine = places(slots=1)
         load(engine, "a1", 0.0)
-        engine.on_ask(ask("r1.0", "a1", 2.0), 2.0)
+        engine.on_request(ask("r1.0", "a1", 2.0), 2.0)
         engine.on_release("r1.0", 2.1, aborted=True)
-        assert engine.on_ask(ask("r2.0", "a2", 2.1), 2.1) == []
+        assert engine.on_request(ask("r2.0", "a2", 2.1), 2.1) == []
         running = EngineFacts(
             {MODEL: 1}, {(MODEL, "a1"): 1}, frozenset(), 1, 2.5, frozenset({"r1"})
         )
@@ -258,7 +258,7 @@
     def test_nothing_new_starts_on_an_old_version_that_is_idle(self) -> None:
         engine = places()
         load(engine, "a1", 0.0)
-        [order] = engine.on_ask(ask("r", "a1", 2.0, version=2), 2.0)
+        [order] = engine.on_request(ask("r", "a1", 2.0, version=2), 2.0)
         assert order == OrderLoad(MODEL, "a1", 2)
 
     def test_a_busy_old_version_serves_on_for_a_moment_only(self) -> None:
@@ -269,22 +269,22 @@
         """
         engine = places()
         load(engine, "a1", 0.0)
-        [grant] = engine.on_ask(ask("r1", "a1", 2.0), 2.0)
+        [grant] = engine.on_request(ask("r1", "a1", 2.0), 2.0)
         assert isinstance(grant, Grant)
-        actions = engine.on_ask(ask("r2", "a1", 2.1, version=2), 2.1)
+        actions = engine.on_request(ask("r2", "a1", 2.1, version=2), 2.1)
         assert any(isinstance(item, Grant) and item.version == 1 for item in actions)
-        actions = engine.on_ask(ask("r3", "a1", 4.0), 4.0)
+        actions = engine.on_request(ask("r3", "a1", 4.0), 4.0)
         assert actions == [OrderLoad(MODEL, "a1", 2)]
 
     def test_a_new_version_that_was_not_ordered_gives_no_slot_away(self) -> None:
         """Guards against one load too many while the engine holds the old version."""
         engine = places(slots=1)
         load(engine, "a1", 0.0)
-        [replacement] = engine.on_ask(ask("new", "a1", 2.0, version=2), 2.0)
+        [replacement] = engine.on_request(ask("new", "a1", 2.0, version=2), 2.0)
         assert replacement == OrderLoad(MODEL, "a1", 2)
         engine.on_order_failed(replacement, certain=True)
         engine.on_cancel("new", 2.1)
-        assert engine.on_ask(ask("other", "a2", 2.2), 2.2) == [
+        assert engine.on_request(ask("other", "a2", 2.2), 2.2) == [
             OrderUnload(MODEL, "a1"),
         ]
 
@@ -299,11 +299,11 @@
         that came last can still be in time.
         """
         engine = places(slots=1)
-        [order] = engine.on_ask(ask("r0", "a0"), 0.0)
+        [order] = engine.on_request(ask("r0", "a0"), 0.0)
         engine.on_order_done(order, 0.0, at_once=False)
         engine.decide(1.0)
-        engine.on_ask(ask("old", "a1", 0.0, goal_s=1.0), 1.0)
-        engine.on_ask(ask("new", "a2", 1.0, goal_s=1.0), 1.0)
+        engine.on_request(ask("old", "a1", 0.0, goal_s=1.0), 1.0)
+        engine.on_request(ask("new", "a2", 1.0, goal_s=1.0), 1.0)
         engine.on_facts(facts(1.2, a0=1), 1.2)
         [order] = engine.on_release("r0", 1.2)
         [order] = engine.on_order_done(order, 1.2, at_once=True)
@@ -311,10 +311,10 @@
 
     def test_what_cannot_start_in_time_is_refused(self) -> None:
         engine = places(slots=1)
-        [order] = engine.on_ask(ask("r0", "a0"), 0.0)
+        [order] = engine.on_request(ask("r0", "a0"), 0.0)
         engine.on_order_done(order, 0.0, at_once=False)
         engine.decide(1.0)
-        engine.on_ask(ask("r1", "a1", 1.0, waits_s=0.5), 1.0)
+        engine.on_request(ask("r1", "a1", 1.0, waits_s=0.5), 1.0)
         [refusal] = engine.decide(1.6)
         assert isinstance(refusal, Refuse)
         assert refusal.reason is RefusalReason.LATE
@@ -327,7 +327,7 @@
         engine = places()
         engine.may_order = False
         engine.decide(0.0)
-        engine.on_ask(ask("r1", "a1", 0.1), 0.1)
+        engine.on_request(ask("r1", "a1", 0.1), 0.1)
         [refusal] = engine.decide(0.6)
         assert isinstance(refusal, Refuse)
         assert refusal.reason is RefusalReason.CANNOT_LOAD
