--- a/bamboovale/decisions/adapter_slots.py
+++ b/bamboovale/decisions/adapter_slots.py
@@ -12,7 +12,7 @@
 from enum import Enum, auto
 
 from bamboovale.decisions.estimates import MovingAverage
-from bamboovale.decisions.place_work import AdapterKey, EngineFacts
+from bamboovale.decisions.place_work import AdapterKey, ReportedState
 
 LOAD_GUESS_S = 0.42
 """Until loads have been measured: 0.29 s from a weight store without queue, and the
@@ -94,7 +94,7 @@
         used = self.active or self.aborted_at
         return self.state is SlotState.LOADED and self.confirmed and not used
 
-    def forget_ended(self, facts: EngineFacts) -> None:
+    def forget_ended(self, facts: ReportedState) -> None:
         """Forget broken-off runs that the engine surely no longer has."""
         for request_id, at in list(self.aborted_at.items()):
             shown = facts.read_at - at > RUNS_LAG_S
@@ -348,7 +348,7 @@
 
     # Reports against belief.
 
-    def see(self, facts: EngineFacts, now: float) -> None:
+    def see(self, facts: ReportedState, now: float) -> None:
         """Take a report; what it may not show yet is kept as it is believed."""
         for slot in self._slot_by_key.values():
             slot.forget_ended(facts)
@@ -394,7 +394,7 @@
         """Tell whether a replacement that waits for runs has waited long enough."""
         return now - slot.changed_at > LOAD_LOST_S and not slot.active
 
-    def _just_unloaded(self, key: AdapterKey, facts: EngineFacts) -> bool:
+    def _just_unloaded(self, key: AdapterKey, facts: ReportedState) -> bool:
         """Tell whether the report may be older than an unload.
 
         Guards against taking an adapter for loaded that is gone: it would be evicted
--- a/bamboovale/decisions/engine_places.py
+++ b/bamboovale/decisions/engine_places.py
@@ -23,7 +23,7 @@
     Action,
     AdapterKey,
     EngineCapacity,
-    EngineFacts,
+    ReportedState,
     EngineOutlook,
     Grant,
     OrderLoad,
@@ -82,7 +82,7 @@
 
     # Events from the engine.
 
-    def on_facts(self, facts: EngineFacts, now: float) -> list[Action]:
+    def on_report(self, facts: ReportedState, now: float) -> list[Action]:
         """Take a report."""
         self._known = True
         self._orders.see_models(facts.version_by_model)
--- a/bamboovale/decisions/place_work.py
+++ b/bamboovale/decisions/place_work.py
@@ -95,7 +95,7 @@
 
 
 @dataclass(frozen=True)
-class EngineFacts:
+class ReportedState:
     """What the engine reports: what it holds and loads, and the requests it runs."""
 
     version_by_model: dict[str, int]
--- a/bamboovale/emulator/owner.py
+++ b/bamboovale/emulator/owner.py
@@ -11,7 +11,7 @@
 from bamboovale.decisions.place_work import (
     Action,
     EngineCapacity,
-    EngineFacts,
+    ReportedState,
     Grant,
     OrderLoad,
     OrderUnload,
@@ -161,14 +161,14 @@
         yield self._env.timeout(self._deployment.report_lag_s)
         if self._stopped:
             return
-        facts = EngineFacts(
+        facts = ReportedState(
             version_by_model={MODEL: 1},
             version_by_adapter=loaded,
             loading=loading,
             active=active,
             read_at=self._env.now,
         )
-        self._carry_out(self.places.on_facts(facts, self._env.now))
+        self._carry_out(self.places.on_report(facts, self._env.now))
 
     def _tick_forever(self) -> Generator[Any, Any, None]:
         while not self._stopped:
--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -8,7 +8,7 @@
 from bamboovale.decisions.place_work import (
     Action,
     EngineCapacity,
-    EngineFacts,
+    ReportedState,
     Grant,
     OrderLoad,
     OrderUnload,
@@ -317,7 +317,7 @@
         self._orders.on_report(report.orders)
         now = self._context.now()
         self.places.may_order = self._orders.may_order()
-        self._carry_out(self.places.on_facts(facts_of(report, asked_at), now))
+        self._carry_out(self.places.on_report(facts_of(report, asked_at), now))
         return True
 
     def _is_same_start(self, report: EngineReport) -> bool:
@@ -399,9 +399,9 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def facts_of(report: EngineReport, read_at: float) -> EngineFacts:
+def facts_of(report: EngineReport, read_at: float) -> ReportedState:
     """Return a report as the decisions read it."""
-    return EngineFacts(
+    return ReportedState(
         version_by_model={model.name: model.version for model in report.models},
         version_by_adapter={
             (model.name, adapter): version
--- a/tests/engine_load_play.py
+++ b/tests/engine_load_play.py
@@ -18,7 +18,7 @@
     Action,
     AdapterKey,
     EngineCapacity,
-    EngineFacts,
+    ReportedState,
     EngineOutlook,
     Grant,
     OrderLoad,
@@ -229,14 +229,14 @@
         self._after(REPORT_S, lambda: self._report(engine))
 
     def _report(self, engine: _Engine) -> None:
-        facts = EngineFacts(
+        facts = ReportedState(
             version_by_model={"base": 1},
             version_by_adapter=dict(engine.loaded),
             loading=frozenset(engine.loading),
             active=engine.running,
             read_at=self._now,
         )
-        self._do(engine, engine.places.on_facts, facts)
+        self._do(engine, engine.places.on_report, facts)
 
     def _start(self, engine: _Engine, ask: QueuedRequest) -> None:
         engine.running += 1
--- a/tests/test_decisions_engine_places.py
+++ b/tests/test_decisions_engine_places.py
@@ -3,7 +3,7 @@
 from bamboovale.decisions.engine_places import EnginePlaces
 from bamboovale.decisions.place_work import (
     EngineCapacity,
-    EngineFacts,
+    ReportedState,
     Grant,
     OrderLoad,
     OrderUnload,
@@ -19,14 +19,14 @@
     """Return an engine that has its model and no adapter."""
     engine = EnginePlaces(EngineCapacity(batch, 100_000, slots))
     engine.may_order = True
-    engine.on_facts(facts(0.0), 0.0)
+    engine.on_report(facts(0.0), 0.0)
     return engine
 
 
-def facts(read_at: float, **version_by_adapter: int) -> EngineFacts:
+def facts(read_at: float, **version_by_adapter: int) -> ReportedState:
     """Return a report."""
     adapters = {(MODEL, name): v for name, v in version_by_adapter.items()}
-    return EngineFacts({MODEL: 1}, adapters, frozenset(), 0, read_at)
+    return ReportedState({MODEL: 1}, adapters, frozenset(), 0, read_at)
 
 
 def ask(name: str, adapter: str, now: float = 0.0, **fields: float) -> QueuedRequest:
@@ -51,7 +51,7 @@
     assert order == OrderLoad(MODEL, adapter, 1)
     engine.on_order_done(order, now, at_once=False)
     later = now + 1.0
-    engine.on_facts(facts(later, **{adapter: 1}), later)
+    engine.on_report(facts(later, **{adapter: 1}), later)
     engine.on_release(f"load-{adapter}", later)
 
 
@@ -72,8 +72,8 @@
         [order] = engine.on_request(ask("r", "a2", 2.0), 2.0)
         assert order == OrderUnload(MODEL, "a1")
         assert engine.on_order_done(order, 2.0, at_once=False) == []
-        assert engine.on_facts(facts(2.4, a1=1), 2.4) == []
-        [order] = engine.on_facts(facts(2.8), 2.8)
+        assert engine.on_report(facts(2.4, a1=1), 2.4) == []
+        [order] = engine.on_report(facts(2.8), 2.8)
         assert order == OrderLoad(MODEL, "a2", 1)
 
     def test_a_report_older_than_an_unload_brings_nothing_back(
@@ -90,7 +90,7 @@
         [order] = engine.on_order_done(order, 2.0, at_once=True)
         assert order == OrderLoad(MODEL, "a2", 1)
         engine.on_order_done(order, 2.0, at_once=False)
-        engine.on_facts(facts(2.1, a1=1), 2.1)
+        engine.on_report(facts(2.1, a1=1), 2.1)
         assert (MODEL, "a1") not in engine.outlook(2.1).loaded
 
     def test_an_adapter_that_may_still_be_in_transit_is_not_evicted(self) -> None:
@@ -105,7 +105,7 @@
         engine.decide(0.4)
         engine.on_cancel("r1", 0.4)
         assert engine.on_request(ask("r2", "a2", 0.4), 0.4) == []
-        [order] = engine.on_facts(facts(0.6, a1=1), 0.6)
+        [order] = engine.on_report(facts(0.6, a1=1), 0.6)
         assert order == OrderUnload(MODEL, "a1")
 
     def test_an_adapter_in_use_is_never_evicted(self) -> None:
@@ -114,7 +114,7 @@
         engine.on_order_done(order, 0.0, at_once=False)
         assert any(isinstance(item, Grant) for item in engine.decide(1.0))
         assert engine.on_request(ask("r2", "a2", 1.0), 1.0) == []
-        engine.on_facts(facts(1.2, a1=1), 1.2)
+        engine.on_report(facts(1.2, a1=1), 1.2)
         [order] = engine.on_release("r1", 1.5)
         assert order == OrderUnload(MODEL, "a1")
 
@@ -169,7 +169,7 @@
             engine.on_refused_run(name, sent_at, not_held=True)
         else:
             engine.on_release(name, now + 1.0)
-        engine.on_facts(facts(now + 1.0, **{adapter: 1}), now + 1.0)
+        engine.on_report(facts(now + 1.0, **{adapter: 1}), now + 1.0)
         return early
 
     def test_a_request_that_came_before_its_load_was_complete_waits_for_a_report(
@@ -186,7 +186,7 @@
         assert isinstance(grant, Grant) and not grant.confirmed
         engine.on_refused_run("r1", 0.5, not_held=True)
         assert engine.on_request(ask("r2", "a1", 0.5), 0.5) == []
-        [grant] = engine.on_facts(facts(0.7, a1=1), 0.7)
+        [grant] = engine.on_report(facts(0.7, a1=1), 0.7)
         assert isinstance(grant, Grant) and grant.confirmed
 
 
@@ -205,8 +205,8 @@
         assert isinstance(grant, Grant)
         engine.on_request(ask("r2.0", "a2", 2.0), 2.0)
         assert engine.on_refused_run("r1.0", 2.1, not_held=True) == []
-        assert engine.on_facts(facts(2.15), 2.15) == []
-        [order] = engine.on_facts(facts(2.3, a1=1), 2.3)
+        assert engine.on_report(facts(2.15), 2.15) == []
+        [order] = engine.on_report(facts(2.3, a1=1), 2.3)
         assert order == OrderUnload(MODEL, "a1")
 
 
@@ -220,7 +220,7 @@
         seconds, and refuses every other order meanwhile: nobody gets a slot.
         """
         engine = places(slots=1)
-        engine.on_facts(facts(1.0, a1=1), 1.0)
+        engine.on_report(facts(1.0, a1=1), 1.0)
         engine.on_held(ask("old.0", "a1", 1.0), 1, 1.0)
         assert engine.on_request(ask("r.0", "a2", 1.1), 1.1) == []
         [order] = engine.on_release("old.0", 1.5)
@@ -229,7 +229,7 @@
     def test_a_new_owner_evicts_nothing_before_it_has_heard_of_the_runs(self) -> None:
         engine = places(slots=1)
         engine.may_evict_from = 1.6
-        engine.on_facts(facts(1.0, a1=1), 1.0)
+        engine.on_report(facts(1.0, a1=1), 1.0)
         assert engine.on_request(ask("r.0", "a2", 1.1), 1.1) == []
         [order] = engine.decide(1.7)
         assert order == OrderUnload(MODEL, "a1")
@@ -244,11 +244,11 @@
         engine.on_request(ask("r1.0", "a1", 2.0), 2.0)
         engine.on_release("r1.0", 2.1, aborted=True)
         assert engine.on_request(ask("r2.0", "a2", 2.1), 2.1) == []
-        running = EngineFacts(
+        running = ReportedState(
             {MODEL: 1}, {(MODEL, "a1"): 1}, frozenset(), 1, 2.5, frozenset({"r1"})
         )
-        assert engine.on_facts(running, 2.5) == []
-        [order] = engine.on_facts(facts(2.9, a1=1), 2.9)
+        assert engine.on_report(running, 2.5) == []
+        [order] = engine.on_report(facts(2.9, a1=1), 2.9)
         assert order == OrderUnload(MODEL, "a1")
 
 
@@ -304,7 +304,7 @@
         engine.decide(1.0)
         engine.on_request(ask("old", "a1", 0.0, goal_s=1.0), 1.0)
         engine.on_request(ask("new", "a2", 1.0, goal_s=1.0), 1.0)
-        engine.on_facts(facts(1.2, a0=1), 1.2)
+        engine.on_report(facts(1.2, a0=1), 1.2)
         [order] = engine.on_release("r0", 1.2)
         [order] = engine.on_order_done(order, 1.2, at_once=True)
         assert order == OrderLoad(MODEL, "a2", 1)
@@ -343,15 +343,15 @@
         """
         engine = EnginePlaces(EngineCapacity(8, 100_000, 2, (MODEL,)))
         engine.may_order = True
-        empty = EngineFacts({}, {}, frozenset(), 0, 0.0)
-        [order] = engine.on_facts(empty, 0.0)
+        empty = ReportedState({}, {}, frozenset(), 0, 0.0)
+        [order] = engine.on_report(empty, 0.0)
         assert order == OrderLoad(MODEL, None, 0)
         assert engine.on_order_done(order, 0.0, at_once=False) == []
-        assert engine.on_facts(empty, 0.5) == [] and engine.loads_model()
-        engine.on_facts(facts(6.0), 6.0)
+        assert engine.on_report(empty, 0.5) == [] and engine.loads_model()
+        engine.on_report(facts(6.0), 6.0)
         assert not engine.loads_model()
 
     def test_of_several_models_none_is_guessed(self) -> None:
         engine = EnginePlaces(EngineCapacity(8, 100_000, 2, (MODEL, "other")))
         engine.may_order = True
-        assert engine.on_facts(EngineFacts({}, {}, frozenset(), 0, 0.0), 0.0) == []
+        assert engine.on_report(ReportedState({}, {}, frozenset(), 0, 0.0), 0.0) == []
