--- a/bamboovale/decisions/engine_choice.py
+++ b/bamboovale/decisions/engine_choice.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass
 
 from bamboovale.decisions.mechanisms import ALL_ON, Mechanism, Mechanisms
-from bamboovale.decisions.place_work import AdapterKey, EngineOutlook
+from bamboovale.decisions.place_work import AdapterKey, EngineSnapshot
 from bamboovale.decisions.rendezvous import RendezvousOrder
 
 LOAD_COST_S = 0.35
@@ -56,7 +56,7 @@
     """
 
     engine_id: str
-    outlook: EngineOutlook | None
+    outlook: EngineSnapshot | None
     owner: str | None
     own_tokens: int = 0
     own_loads: int = 0
@@ -142,7 +142,7 @@
             if view.outlook is not None:
                 self._see_engine(engine_id, view.outlook)
 
-    def _see_engine(self, engine_id: str, outlook: EngineOutlook) -> None:
+    def _see_engine(self, engine_id: str, outlook: EngineSnapshot) -> None:
         loaded = outlook.loaded
         if loaded is self._seen_by_engine.get(engine_id):
             return  # the same word of its owner as before
--- a/bamboovale/decisions/engine_places.py
+++ b/bamboovale/decisions/engine_places.py
@@ -24,7 +24,7 @@
     AdapterKey,
     EngineCapacity,
     ReportedState,
-    EngineOutlook,
+    EngineSnapshot,
     Grant,
     OrderLoad,
     OrderUnload,
@@ -220,9 +220,9 @@
                 actions.append(order)
         return actions
 
-    def outlook(self, now: float) -> EngineOutlook:
+    def outlook(self, now: float) -> EngineSnapshot:
         """Return what entry VMs choose by."""
-        return EngineOutlook(
+        return EngineSnapshot(
             loaded=self.slots.versions(SlotState.LOADED),
             coming=self.slots.versions(SlotState.LOADING),
             models=tuple(self._orders.version_by_model),
--- a/bamboovale/decisions/place_work.py
+++ b/bamboovale/decisions/place_work.py
@@ -120,7 +120,7 @@
 
 
 @dataclass(frozen=True)
-class EngineOutlook:
+class EngineSnapshot:
     """What entry VMs choose an engine by.
 
     ``backlog_s`` is how long a new prompt waits for those sent and queued before it, or
--- a/bamboovale/emulator/caller.py
+++ b/bamboovale/emulator/caller.py
@@ -8,7 +8,7 @@
 import simpy
 
 from bamboovale.decisions.engine_choice import EngineChooser, EngineView
-from bamboovale.decisions.place_work import EngineOutlook, Grant, QueuedRequest, Refuse
+from bamboovale.decisions.place_work import EngineSnapshot, Grant, QueuedRequest, Refuse
 from bamboovale.emulator.engine import EngineRun
 from bamboovale.emulator.outcomes import Outcome
 from bamboovale.emulator.owner import MODEL, EmulatedOwner
@@ -46,7 +46,7 @@
     """An entry VM: what it was told, and what it has sent since."""
 
     chooser: EngineChooser
-    outlook_by_engine: dict[str, EngineOutlook] = field(default_factory=dict)
+    outlook_by_engine: dict[str, EngineSnapshot] = field(default_factory=dict)
     tokens_by_engine: Counter[str] = field(default_factory=Counter)
     loads_by_engine: Counter[str] = field(default_factory=Counter)
 
@@ -64,7 +64,7 @@
             if name in live
         }
 
-    def hear(self, name: str, outlook: EngineOutlook, *, whole: bool) -> None:
+    def hear(self, name: str, outlook: EngineSnapshot, *, whole: bool) -> None:
         """Take an owner's word; only a ``whole`` one tells which adapters are there."""
         known = self.outlook_by_engine.get(name)
         if known is not None and not whole:
--- a/bamboovale/gateway/engines.py
+++ b/bamboovale/gateway/engines.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 from bamboovale.decisions.engine_choice import EngineView
-from bamboovale.decisions.place_work import AdapterKey, EngineOutlook
+from bamboovale.decisions.place_work import AdapterKey, EngineSnapshot
 from bamboovale.decisions.reading_speed import GUESS_S_PER_TOKEN
 from bamboovale.gateway.engine_owner import EngineOwner
 from bamboovale.gateway.fleet import Fleet
@@ -279,13 +279,13 @@
         owned = self.fleet.engine(engine_id)
         return owned is None or owned.status is None or owned.status.answers
 
-    def _outlook(self, status: EngineStatus) -> EngineOutlook:
+    def _outlook(self, status: EngineStatus) -> EngineSnapshot:
         told = (status.loaded, status.coming)
         known = self._loaded_by_id.get(status.engine_id)
         if known is None or known.told != told:
             known = _Loaded(told, _versions(status.loaded), _versions(status.coming))
             self._loaded_by_id[status.engine_id] = known
-        return EngineOutlook(
+        return EngineSnapshot(
             loaded=known.loaded,
             coming=known.coming,
             models=status.models,
@@ -328,9 +328,9 @@
         future.exception()
 
 
-def outlook_of(record: EndpointRecord) -> EngineOutlook:
+def outlook_of(record: EndpointRecord) -> EngineSnapshot:
     """Return what an engine's own record tells while no owner has spoken."""
-    return EngineOutlook(
+    return EngineSnapshot(
         loaded={
             (model.name, adapter): version
             for model in record.models
--- a/tests/engine_load_play.py
+++ b/tests/engine_load_play.py
@@ -19,7 +19,7 @@
     AdapterKey,
     EngineCapacity,
     ReportedState,
-    EngineOutlook,
+    EngineSnapshot,
     Grant,
     OrderLoad,
     QueuedRequest,
@@ -86,7 +86,7 @@
 @dataclass
 class _EntryVM:
     chooser: EngineChooser
-    outlooks: dict[str, EngineOutlook] = field(default_factory=dict)
+    outlooks: dict[str, EngineSnapshot] = field(default_factory=dict)
     loads_by_engine: Counter[str] = field(default_factory=Counter)
 
 
--- a/tests/test_decisions_engine_choice.py
+++ b/tests/test_decisions_engine_choice.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 from bamboovale.decisions.engine_choice import EngineChooser, EngineView
-from bamboovale.decisions.place_work import EngineOutlook
+from bamboovale.decisions.place_work import EngineSnapshot
 
 KEY = ("base", "a1")
 
@@ -22,7 +22,7 @@
         "kept": 100,
         "s_per_token": 1 / 20_000,
     }
-    return EngineView(name, EngineOutlook(**(values | fields)), owner)
+    return EngineView(name, EngineSnapshot(**(values | fields)), owner)
 
 
 class TestEngineChoice:
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bamboovale.decisions.place_work import EngineOutlook
+from bamboovale.decisions.place_work import EngineSnapshot
 from bamboovale.decoding import BadRecordError
 from bamboovale.fleet.messages import Member, Unheard
 from bamboovale.gateway.endpoints import EndpointChange, EndpointView
@@ -377,7 +377,7 @@
         A field of the status was not taken over, and what was to go by it did nothing:
         it showed only on a day played with and without, which were the same.
         """
-        outlook = EngineOutlook(
+        outlook = EngineSnapshot(
             loaded={("base", "a1"): 2},
             coming={("base", "a2"): 1},
             models=("base",),
