--- a/bamboovale/decisions/engine_choice.py
+++ b/bamboovale/decisions/engine_choice.py
@@ -56,7 +56,7 @@
     """
 
     engine_id: str
-    outlook: EngineSnapshot | None
+    snapshot: EngineSnapshot | None
     owner: str | None
     own_tokens: int = 0
     own_loads: int = 0
@@ -64,14 +64,14 @@
 
     def run_cost_s(self, prompt_tokens: int = 0) -> float:
         """Return the seconds to the first event where no load is needed."""
-        outlook = self.outlook
-        if outlook is None:
+        snapshot = self.snapshot
+        if snapshot is None:
             return UNKNOWN_COST_S
-        batch_s = ACTIVE_COST_S * outlook.active
-        full_s = FULL_COST_S if outlook.active >= outlook.places else 0.0
-        own_s = outlook.s_per_token * self.own_tokens
-        reading_s = outlook.s_per_token * prompt_tokens
-        return outlook.backlog_s + own_s + reading_s + batch_s + full_s
+        batch_s = ACTIVE_COST_S * snapshot.active
+        full_s = FULL_COST_S if snapshot.active >= snapshot.places else 0.0
+        own_s = snapshot.s_per_token * self.own_tokens
+        reading_s = snapshot.s_per_token * prompt_tokens
+        return snapshot.backlog_s + own_s + reading_s + batch_s + full_s
 
     def load_cost_s(
         self,
@@ -82,32 +82,32 @@
     ) -> float:
         """Return the seconds to the first event where the adapter must be loaded."""
         load_s = WARM_LOAD_COST_S if warm else LOAD_COST_S
-        if self.outlook is None:
+        if self.snapshot is None:
             return UNKNOWN_COST_S + load_s
-        open_slots = self.outlook.open_slots - self.own_loads
+        open_slots = self.snapshot.open_slots - self.own_loads
         slot_s = SLOT_TURN_S * max(0, 1 - open_slots) if by_slots else 0.0
-        queued_s = QUEUED_COST_S * self.outlook.queued
+        queued_s = QUEUED_COST_S * self.snapshot.queued
         return self.run_cost_s(prompt_tokens) + max(slot_s, queued_s) + load_s
 
     def has_model(self, model: str) -> bool:
         """Tell whether the engine has the base model, as far as is known."""
-        return self.outlook is None or model in self.outlook.models
+        return self.snapshot is None or model in self.snapshot.models
 
     def holds(self, key: AdapterKey | None, version: int) -> bool:
         """Tell whether the adapter is loaded, or about to be, in this version."""
-        if self.outlook is None:
+        if self.snapshot is None:
             return False
         if key is None:
             return True
         if self.has_loaded(key, version):
             return True
-        return self.outlook.coming.get(key, 0) >= version
+        return self.snapshot.coming.get(key, 0) >= version
 
     def has_loaded(self, key: AdapterKey | None, version: int) -> bool:
         """Tell whether the adapter is loaded in this version, not only expected."""
-        if self.outlook is None:
+        if self.snapshot is None:
             return False
-        return key is None or self.outlook.loaded.get(key, 0) >= version
+        return key is None or self.snapshot.loaded.get(key, 0) >= version
 
 
 def _with_model(views: dict[str, EngineView], model: str) -> dict[str, EngineView]:
@@ -139,11 +139,11 @@
             del self._version_by_engine[engine_id]
             del self._seen_by_engine[engine_id]
         for engine_id, view in view_by_id.items():
-            if view.outlook is not None:
-                self._see_engine(engine_id, view.outlook)
+            if view.snapshot is not None:
+                self._see_engine(engine_id, view.snapshot)
 
-    def _see_engine(self, engine_id: str, outlook: EngineSnapshot) -> None:
-        loaded = outlook.loaded
+    def _see_engine(self, engine_id: str, snapshot: EngineSnapshot) -> None:
+        loaded = snapshot.loaded
         if loaded is self._seen_by_engine.get(engine_id):
             return  # the same word of its owner as before
         self._seen_by_engine[engine_id] = loaded
@@ -151,7 +151,7 @@
         for key, version in loaded.items():
             held[key] = version
             held.move_to_end(key)
-        while len(held) > outlook.kept:
+        while len(held) > snapshot.kept:
             held.popitem(last=False)
 
     def holders(self, key: AdapterKey, version: int) -> set[str]:
--- a/bamboovale/decisions/engine_places.py
+++ b/bamboovale/decisions/engine_places.py
@@ -220,7 +220,7 @@
                 actions.append(order)
         return actions
 
-    def outlook(self, now: float) -> EngineSnapshot:
+    def snapshot(self, now: float) -> EngineSnapshot:
         """Return what entry VMs choose by."""
         return EngineSnapshot(
             loaded=self.slots.versions(SlotState.LOADED),
--- a/bamboovale/emulator/caller.py
+++ b/bamboovale/emulator/caller.py
@@ -46,7 +46,7 @@
     """An entry VM: what it was told, and what it has sent since."""
 
     chooser: EngineChooser
-    outlook_by_engine: dict[str, EngineSnapshot] = field(default_factory=dict)
+    snapshot_by_engine: dict[str, EngineSnapshot] = field(default_factory=dict)
     tokens_by_engine: Counter[str] = field(default_factory=Counter)
     loads_by_engine: Counter[str] = field(default_factory=Counter)
 
@@ -55,21 +55,21 @@
         return {
             name: EngineView(
                 name,
-                outlook,
+                snapshot,
                 "owner",
                 self.tokens_by_engine[name],
                 self.loads_by_engine[name],
             )
-            for name, outlook in self.outlook_by_engine.items()
+            for name, snapshot in self.snapshot_by_engine.items()
             if name in live
         }
 
-    def hear(self, name: str, outlook: EngineSnapshot, *, whole: bool) -> None:
+    def hear(self, name: str, snapshot: EngineSnapshot, *, whole: bool) -> None:
         """Take an owner's word; only a ``whole`` one tells which adapters are there."""
-        known = self.outlook_by_engine.get(name)
+        known = self.snapshot_by_engine.get(name)
         if known is not None and not whole:
-            outlook = replace(outlook, loaded=known.loaded, coming=known.coming)
-        self.outlook_by_engine[name] = outlook
+            snapshot = replace(snapshot, loaded=known.loaded, coming=known.coming)
+        self.snapshot_by_engine[name] = snapshot
         self.tokens_by_engine[name] = 0
         self.loads_by_engine[name] = 0
 
--- a/bamboovale/emulator/play.py
+++ b/bamboovale/emulator/play.py
@@ -111,8 +111,8 @@
         for turn in itertools.count():
             self._note_held_up()
             for name, owner in self._owner_by_name.items():
-                outlook = owner.places.outlook(self.env.now)
-                entry.hear(name, outlook, whole=turn % whole_every == 0)
+                snapshot = owner.places.snapshot(self.env.now)
+                entry.hear(name, snapshot, whole=turn % whole_every == 0)
             entry.chooser.held_lately.see(entry.views(set(self._owner_by_name)))
             yield self.env.timeout(interval_s)
 
@@ -215,7 +215,7 @@
         if owner is None:
             return
         for entry in self._entries:
-            entry.outlook_by_engine.pop(name, None)
+            entry.snapshot_by_engine.pop(name, None)
         for run in self._engine_by_name[name].crash():
             run.on_lost()
         owner.stop()
--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -186,33 +186,33 @@
 
     def status(self) -> EngineStatus:
         """Return what peers are told."""
-        outlook = self.places.outlook(self._context.now())
+        snapshot = self.places.snapshot(self._context.now())
         return EngineStatus(
             engine_id=self.record.endpoint_id,
             fence=self._orders.fence(),
-            loaded=tuple((*key, v) for key, v in outlook.loaded.items()),
-            coming=tuple((*key, v) for key, v in outlook.coming.items()),
-            models=outlook.models,
-            active=outlook.active,
-            places=outlook.places,
-            queued=outlook.queued,
-            backlog_s=round(outlook.backlog_s, 3),
-            open_slots=outlook.open_slots,
-            kept=outlook.kept,
-            s_per_token=outlook.s_per_token,
-            held_up=outlook.held_up,
+            loaded=tuple((*key, v) for key, v in snapshot.loaded.items()),
+            coming=tuple((*key, v) for key, v in snapshot.coming.items()),
+            models=snapshot.models,
+            active=snapshot.active,
+            places=snapshot.places,
+            queued=snapshot.queued,
+            backlog_s=round(snapshot.backlog_s, 3),
+            open_slots=snapshot.open_slots,
+            kept=snapshot.kept,
+            s_per_token=snapshot.s_per_token,
+            held_up=snapshot.held_up,
             answers=self.answers,
         )
 
     def load(self) -> EngineLoad:
         """Return how busy the engine is."""
-        outlook = self.places.outlook(self._context.now())
+        snapshot = self.places.snapshot(self._context.now())
         return EngineLoad(
             engine_id=self.record.endpoint_id,
-            active=outlook.active,
-            queued=outlook.queued,
-            backlog_s=round(outlook.backlog_s, 3),
-            open_slots=outlook.open_slots,
+            active=snapshot.active,
+            queued=snapshot.queued,
+            backlog_s=round(snapshot.backlog_s, 3),
+            open_slots=snapshot.open_slots,
         )
 
     # Carrying out.
--- a/bamboovale/gateway/engines.py
+++ b/bamboovale/gateway/engines.py
@@ -279,7 +279,7 @@
         owned = self.fleet.engine(engine_id)
         return owned is None or owned.status is None or owned.status.answers
 
-    def _outlook(self, status: EngineStatus) -> EngineSnapshot:
+    def _snapshot(self, status: EngineStatus) -> EngineSnapshot:
         told = (status.loaded, status.coming)
         known = self._loaded_by_id.get(status.engine_id)
         if known is None or known.told != told:
@@ -304,7 +304,7 @@
         owned = self.fleet.engine(engine_id)
         if owned is None or owned.status is None:
             owner = self._owner_of(engine_id)
-            return EngineView(engine_id, outlook_of(record), owner, is_told=False)
+            return EngineView(engine_id, snapshot_of(record), owner, is_told=False)
         sent = self._sent_by_id.setdefault(engine_id, _Sent())
         if owned.heard_at > sent.heard_at:
             sent.heard_at = owned.heard_at
@@ -312,7 +312,7 @@
             sent.loads = 0
         return EngineView(
             engine_id,
-            self._outlook(owned.status),
+            self._snapshot(owned.status),
             self._owner_of(engine_id),
             sent.tokens,
             sent.loads,
@@ -328,7 +328,7 @@
         future.exception()
 
 
-def outlook_of(record: EndpointRecord) -> EngineSnapshot:
+def snapshot_of(record: EndpointRecord) -> EngineSnapshot:
     """Return what an engine's own record tells while no owner has spoken."""
     return EngineSnapshot(
         loaded={
--- a/bamboovale/gateway/place_search.py
+++ b/bamboovale/gateway/place_search.py
@@ -152,9 +152,9 @@
         holders = [
             name
             for name, view in views.items()
-            if view.outlook is not None
+            if view.snapshot is not None
             and name not in progress.excluded
-            and (key is None or view.outlook.loaded.get(key, 0) >= version)
+            and (key is None or view.snapshot.loaded.get(key, 0) >= version)
         ]
         if not holders:
             call.notes["engines"] = len(views)
--- a/tests/engine_load_play.py
+++ b/tests/engine_load_play.py
@@ -86,7 +86,7 @@
 @dataclass
 class _EntryVM:
     chooser: EngineChooser
-    outlooks: dict[str, EngineSnapshot] = field(default_factory=dict)
+    snapshots: dict[str, EngineSnapshot] = field(default_factory=dict)
     loads_by_engine: Counter[str] = field(default_factory=Counter)
 
 
@@ -145,10 +145,10 @@
     def _teller(self, entry: _EntryVM) -> Callable[[], None]:
         def tell() -> None:
             for name, engine in self._engine_by_name.items():
-                entry.outlooks[name] = engine.places.outlook(self._now)
+                entry.snapshots[name] = engine.places.snapshot(self._now)
             views = {
-                name: EngineView(name, outlook, "owner")
-                for name, outlook in entry.outlooks.items()
+                name: EngineView(name, snapshot, "owner")
+                for name, snapshot in entry.snapshots.items()
             }
             entry.chooser.held_lately.see(views)
             entry.loads_by_engine.clear()
@@ -161,11 +161,11 @@
         views = {
             name: EngineView(
                 name,
-                outlook,
+                snapshot,
                 "owner",
                 own_loads=entry.loads_by_engine[name],
             )
-            for name, outlook in entry.outlooks.items()
+            for name, snapshot in entry.snapshots.items()
         }
         name = entry.chooser.choose(key, 1, views)
         assert name is not None
--- a/tests/test_decisions_engine_choice.py
+++ b/tests/test_decisions_engine_choice.py
@@ -83,10 +83,10 @@
 
         All of them would go to the engine that had two open slots when last heard.
         """
-        outlook = view("e1", open_slots=2).outlook
+        snapshot = view("e1", open_slots=2).snapshot
         views = {
             "e0": view("e0", open_slots=0),
-            "e1": EngineView("e1", outlook, "entry-0", own_loads=8),
+            "e1": EngineView("e1", snapshot, "entry-0", own_loads=8),
         }
         assert EngineChooser().choose(KEY, 1, views) == "e0"
 
--- a/tests/test_decisions_engine_places.py
+++ b/tests/test_decisions_engine_places.py
@@ -91,7 +91,7 @@
         assert order == OrderLoad(MODEL, "a2", 1)
         engine.on_order_done(order, 2.0, at_once=False)
         engine.on_report(facts(2.1, a1=1), 2.1)
-        assert (MODEL, "a1") not in engine.outlook(2.1).loaded
+        assert (MODEL, "a1") not in engine.snapshot(2.1).loaded
 
     def test_an_adapter_that_may_still_be_in_transit_is_not_evicted(self) -> None:
         """A load takes longer than expected, its caller leaves, a slot is wanted.
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -377,7 +377,7 @@
         A field of the status was not taken over, and what was to go by it did nothing:
         it showed only on a day played with and without, which were the same.
         """
-        outlook = EngineSnapshot(
+        snapshot = EngineSnapshot(
             loaded={("base", "a1"): 2},
             coming={("base", "a2"): 1},
             models=("base",),
@@ -396,8 +396,8 @@
             loaded=(("base", "a1", 2),),
             coming=(("base", "a2", 1),),
             **{
-                item.name: getattr(outlook, item.name)
-                for item in fields(outlook)
+                item.name: getattr(snapshot, item.name)
+                for item in fields(snapshot)
                 if item.name not in ("loaded", "coming")
             },
         )
@@ -405,7 +405,7 @@
         fleet.on_statuses("a", [told], 1.0)
         engines = Engines("me", fleet, None, lambda: 1.0)  # type: ignore[arg-type]
         record = EndpointRecord("e", "llm", ("10.0.0.1", 1), "a", True, 8)
-        assert engines.views([record])["e"].outlook == outlook
+        assert engines.views([record])["e"].snapshot == snapshot
 
 
 class FakeStore:
