--- a/bamboovale/decisions/engine_choice.py
+++ b/bamboovale/decisions/engine_choice.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True)
-class EngineView:
+class EngineCandidate:
     """An engine as this entry VM knows it.
 
     ``own_tokens`` and ``own_loads`` are what we sent there since its owner was last
@@ -60,7 +60,7 @@
     owner: str | None
     own_tokens: int = 0
     own_loads: int = 0
-    is_told: bool = True
+    has_status: bool = True
 
     def run_cost_s(self, prompt_tokens: int = 0) -> float:
         """Return the seconds to the first event where no load is needed."""
@@ -110,7 +110,7 @@
         return key is None or self.snapshot.loaded.get(key, 0) >= version
 
 
-def _with_model(views: dict[str, EngineView], model: str) -> dict[str, EngineView]:
+def _with_model(views: dict[str, EngineCandidate], model: str) -> dict[str, EngineCandidate]:
     """Leave out engines without the base model while others have it.
 
     Guards against an engine that has just started: idle as it is, it looks best, and
@@ -130,7 +130,7 @@
         self._version_by_engine: dict[str, OrderedDict[AdapterKey, int]] = {}
         self._seen_by_engine: dict[str, dict[AdapterKey, int]] = {}
 
-    def see(self, view_by_id: Mapping[str, EngineView]) -> None:
+    def see(self, view_by_id: Mapping[str, EngineCandidate]) -> None:
         """Remember what engines have loaded; forget engines that are gone.
 
         Each start of an engine has an id of its own, and begins with nothing.
@@ -175,7 +175,7 @@
         self,
         key: AdapterKey | None,
         version: int,
-        view_by_id: Mapping[str, EngineView],
+        view_by_id: Mapping[str, EngineCandidate],
         excluded: Collection[str] = (),
         prompt_tokens: int = 0,
     ) -> str | None:
@@ -218,7 +218,7 @@
     def _for_load(
         self,
         name: str,
-        views: Mapping[str, EngineView],
+        views: Mapping[str, EngineCandidate],
         prompt_tokens: int,
         holders: Collection[str] = (),
         warm: Collection[str] = (),
--- a/bamboovale/emulator/caller.py
+++ b/bamboovale/emulator/caller.py
@@ -7,7 +7,7 @@
 
 import simpy
 
-from bamboovale.decisions.engine_choice import EngineChooser, EngineView
+from bamboovale.decisions.engine_choice import EngineChooser, EngineCandidate
 from bamboovale.decisions.place_work import EngineSnapshot, Grant, QueuedRequest, Refuse
 from bamboovale.emulator.engine import EngineRun
 from bamboovale.emulator.outcomes import Outcome
@@ -50,10 +50,10 @@
     tokens_by_engine: Counter[str] = field(default_factory=Counter)
     loads_by_engine: Counter[str] = field(default_factory=Counter)
 
-    def views(self, live: set[str]) -> dict[str, EngineView]:
+    def views(self, live: set[str]) -> dict[str, EngineCandidate]:
         """Return what it believes of the engines that live."""
         return {
-            name: EngineView(
+            name: EngineCandidate(
                 name,
                 snapshot,
                 "owner",
--- a/bamboovale/gateway/engines.py
+++ b/bamboovale/gateway/engines.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from bamboovale.decisions.engine_choice import EngineView
+from bamboovale.decisions.engine_choice import EngineCandidate
 from bamboovale.decisions.place_work import AdapterKey, EngineSnapshot
 from bamboovale.decisions.reading_speed import GUESS_S_PER_TOKEN
 from bamboovale.gateway.engine_owner import EngineOwner
@@ -98,7 +98,7 @@
     _held_by_id: dict[str, PlaceHeld] = field(default_factory=dict)
     _owner_by_held: dict[str, str] = field(default_factory=dict)
 
-    def views(self, records: list[EndpointRecord]) -> dict[str, EngineView]:
+    def views(self, records: list[EndpointRecord]) -> dict[str, EngineCandidate]:
         """Return what is known of each of the engines, for a request."""
         self.on_needed()
         self._forget_gone(records)
@@ -117,7 +117,7 @@
             for engine_id in kept.keys() - listed:
                 del kept[engine_id]
 
-    def note_sent(self, view: EngineView, request: PlaceRequest) -> None:
+    def note_sent(self, view: EngineCandidate, request: PlaceRequest) -> None:
         """Count what the owner's next word will show."""
         sent = self._sent_by_id.setdefault(request.engine_id, _Sent())
         sent.tokens += request.prompt_tokens
@@ -299,18 +299,18 @@
             held_up=status.held_up,
         )
 
-    def _view(self, record: EndpointRecord) -> EngineView:
+    def _view(self, record: EndpointRecord) -> EngineCandidate:
         engine_id = record.endpoint_id
         owned = self.fleet.engine(engine_id)
         if owned is None or owned.status is None:
             owner = self._owner_of(engine_id)
-            return EngineView(engine_id, snapshot_of(record), owner, is_told=False)
+            return EngineCandidate(engine_id, snapshot_of(record), owner, has_status=False)
         sent = self._sent_by_id.setdefault(engine_id, _Sent())
         if owned.heard_at > sent.heard_at:
             sent.heard_at = owned.heard_at
             sent.tokens = 0
             sent.loads = 0
-        return EngineView(
+        return EngineCandidate(
             engine_id,
             self._snapshot(owned.status),
             self._owner_of(engine_id),
--- a/bamboovale/gateway/place_search.py
+++ b/bamboovale/gateway/place_search.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from bamboovale.decisions.engine_choice import EngineChooser, EngineView
+from bamboovale.decisions.engine_choice import EngineChooser, EngineCandidate
 from bamboovale.decisions.mechanisms import ALL_ON, Mechanisms
 from bamboovale.gateway.call import Call
 from bamboovale.gateway.endpoints import EndpointView
@@ -103,7 +103,7 @@
         self,
         call: Call,
         work: ModelWork,
-        views: dict[str, EngineView],
+        views: dict[str, EngineCandidate],
         passed_over: set[str],
         progress: Progress,
     ) -> str | None:
@@ -121,7 +121,7 @@
             chosen = chooser.choose(key, version, views, passed_over, tokens)
         return chosen
 
-    def _is_unheard(self, view: EngineView) -> bool:
+    def _is_unheard(self, view: EngineCandidate) -> bool:
         """Tell whether an engine's owner is still to be heard of for the first time.
 
         Guards against the crowd that comes back to VMs that have just started: sent
@@ -129,7 +129,7 @@
         neither counted nor paced; and all VMs would choose by what endpoints last
         registered, the same few engines each.
         """
-        return not view.is_told
+        return not view.has_status
 
     def _owner_may_come(self, call: Call) -> bool:
         """Tell whether it is too early to say that no engine has an owner.
@@ -166,7 +166,7 @@
         self,
         call: Call,
         work: ModelWork,
-        view: EngineView,
+        view: EngineCandidate,
         version: int,
         progress: Progress,
     ) -> HeldPlace:
--- a/tests/engine_load_play.py
+++ b/tests/engine_load_play.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from bamboovale.decisions.engine_choice import EngineChooser, EngineView
+from bamboovale.decisions.engine_choice import EngineChooser, EngineCandidate
 from bamboovale.decisions.engine_places import EnginePlaces
 from bamboovale.decisions.place_work import (
     Action,
@@ -147,7 +147,7 @@
             for name, engine in self._engine_by_name.items():
                 entry.snapshots[name] = engine.places.snapshot(self._now)
             views = {
-                name: EngineView(name, snapshot, "owner")
+                name: EngineCandidate(name, snapshot, "owner")
                 for name, snapshot in entry.snapshots.items()
             }
             entry.chooser.held_lately.see(views)
@@ -159,7 +159,7 @@
     def _arrive(self, key: AdapterKey) -> None:
         entry = self._rng.choice(self._entries)
         views = {
-            name: EngineView(
+            name: EngineCandidate(
                 name,
                 snapshot,
                 "owner",
--- a/tests/test_decisions_engine_choice.py
+++ b/tests/test_decisions_engine_choice.py
@@ -2,13 +2,13 @@
 
 from collections import Counter
 
-from bamboovale.decisions.engine_choice import EngineChooser, EngineView
+from bamboovale.decisions.engine_choice import EngineChooser, EngineCandidate
 from bamboovale.decisions.place_work import EngineSnapshot
 
 KEY = ("base", "a1")
 
 
-def view(name: str, owner: str | None = "entry-0", **fields: object) -> EngineView:
+def view(name: str, owner: str | None = "entry-0", **fields: object) -> EngineCandidate:
     """Return an engine with 18 slots and a batch of 128."""
     values: dict = {
         "loaded": {},
@@ -22,7 +22,7 @@
         "kept": 100,
         "s_per_token": 1 / 20_000,
     }
-    return EngineView(name, EngineSnapshot(**(values | fields)), owner)
+    return EngineCandidate(name, EngineSnapshot(**(values | fields)), owner)
 
 
 class TestEngineChoice:
@@ -86,7 +86,7 @@
         snapshot = view("e1", open_slots=2).snapshot
         views = {
             "e0": view("e0", open_slots=0),
-            "e1": EngineView("e1", snapshot, "entry-0", own_loads=8),
+            "e1": EngineCandidate("e1", snapshot, "entry-0", own_loads=8),
         }
         assert EngineChooser().choose(KEY, 1, views) == "e0"
 
