--- a/bamboovale/decisions/engine_choice.py
+++ b/bamboovale/decisions/engine_choice.py
@@ -120,7 +120,7 @@
     return able or views
 
 
-class HeldLately:
+class RecentlyHeldAdapters:
     """The adapters that engines have held of late, in the versions they had.
 
     Their owners tell only what is loaded now; what was seen before is remembered here.
@@ -130,7 +130,7 @@
         self._version_by_engine: dict[str, OrderedDict[AdapterKey, int]] = {}
         self._seen_by_engine: dict[str, dict[AdapterKey, int]] = {}
 
-    def see(self, view_by_id: Mapping[str, EngineCandidate]) -> None:
+    def update(self, view_by_id: Mapping[str, EngineCandidate]) -> None:
         """Remember what engines have loaded; forget engines that are gone.
 
         Each start of an engine has an id of its own, and begins with nothing.
@@ -167,7 +167,7 @@
     """Chooses among the engines of one pool."""
 
     def __init__(self, mechanisms: Mechanisms = ALL_ON) -> None:
-        self.held_lately = HeldLately()
+        self.recently_held = RecentlyHeldAdapters()
         self._mechanisms = mechanisms
         self._order = RendezvousOrder()
 
@@ -201,7 +201,7 @@
             return best or self._for_load("", open_views, prompt_tokens)[0]
         warm: set[str] = set()
         if self._mechanisms.has(Mechanism.HELD_LATELY):
-            warm = self.held_lately.holders(key, version)
+            warm = self.recently_held.holders(key, version)
         name = f"{key[0]}/{key[1]}"
         fresh, fresh_s = self._for_load(
             name,
--- a/bamboovale/emulator/play.py
+++ b/bamboovale/emulator/play.py
@@ -113,7 +113,7 @@
             for name, owner in self._owner_by_name.items():
                 snapshot = owner.places.snapshot(self.env.now)
                 entry.hear(name, snapshot, whole=turn % whole_every == 0)
-            entry.chooser.held_lately.see(entry.views(set(self._owner_by_name)))
+            entry.chooser.recently_held.update(entry.views(set(self._owner_by_name)))
             yield self.env.timeout(interval_s)
 
     def _note_held_up(self) -> None:
--- a/bamboovale/gateway/place_search.py
+++ b/bamboovale/gateway/place_search.py
@@ -111,7 +111,7 @@
         chooser = self._chooser_by_service.setdefault(
             call.service, EngineChooser(self._mechanisms)
         )
-        chooser.held_lately.see(views)
+        chooser.recently_held.update(views)
         key = None if work.adapter is None else (work.model, work.adapter)
         version = self._version_of(work.model, work.adapter)
         tokens = work.prompt_tokens
--- a/tests/engine_load_play.py
+++ b/tests/engine_load_play.py
@@ -150,7 +150,7 @@
                 name: EngineCandidate(name, snapshot, "owner")
                 for name, snapshot in entry.snapshots.items()
             }
-            entry.chooser.held_lately.see(views)
+            entry.chooser.recently_held.update(views)
             entry.loads_by_engine.clear()
             self._after(STATUS_S, tell)
 
--- a/tests/test_decisions_engine_choice.py
+++ b/tests/test_decisions_engine_choice.py
@@ -100,8 +100,8 @@
         other = next(name for name in views if name != home)
         chooser = EngineChooser()
         held = {**views, other: view(other, open_slots=2, loaded={KEY: 1})}
-        chooser.held_lately.see(held)
-        chooser.held_lately.see(views)
+        chooser.recently_held.update(held)
+        chooser.recently_held.update(views)
         assert chooser.choose(KEY, 1, views) == other
         assert chooser.choose(KEY, 2, views) == home
 
