--- a/bamboovale/decisions/engine_places.py
+++ b/bamboovale/decisions/engine_places.py
@@ -116,7 +116,7 @@
         """
         self._orders.on_failed(order, certain=certain)
 
-    def on_refused_run(
+    def on_run_refused(
         self,
         ask_id: str,
         now: float,
@@ -156,12 +156,12 @@
         if self._mechanisms.has(Mechanism.READING_SPEED):
             self.pacing.on_first_event(ask_id, now)
 
-    def on_paused(self, ask_id: str, pause_s: float, now: float) -> None:
+    def on_stall(self, ask_id: str, pause_s: float, now: float) -> None:
         """Take word that a run's stream has just paused for long."""
         if ask_id in self._place_by_id:
             self.pacing.on_pause(pause_s, now)
 
-    def on_held(self, ask: QueuedRequest, version: int, now: float) -> None:
+    def adopt_place(self, ask: QueuedRequest, version: int, now: float) -> None:
         """Take over a place that the engine's last owner granted."""
         if ask.ask_id in self._place_by_id:
             return
--- a/bamboovale/emulator/owner.py
+++ b/bamboovale/emulator/owner.py
@@ -88,7 +88,7 @@
 
     def paused(self, ask_id: str, pause_s: float) -> None:
         """Note a long pause of a run's stream."""
-        self.places.on_paused(ask_id, pause_s, self._env.now)
+        self.places.on_stall(ask_id, pause_s, self._env.now)
 
     def release(self, ask_id: str) -> None:
         """Free a place."""
@@ -97,7 +97,7 @@
     def refused_run(self, ask_id: str) -> None:
         """Take an engine's refusal of a run."""
         now = self._env.now
-        self._carry_out(self.places.on_refused_run(ask_id, now, not_held=True))
+        self._carry_out(self.places.on_run_refused(ask_id, now, not_held=True))
         self._env.process(self._report())
 
     # Carrying out.
--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -131,7 +131,7 @@
         now = self._context.now()
         evidence = self.places.pacing.evidence
         before = evidence.is_held_up()
-        self.places.on_paused(ask_id, pause_s, now)
+        self.places.on_stall(ask_id, pause_s, now)
         if evidence.is_held_up() and not before:
             self._context.journal.write(
                 "engine_held_up",
@@ -157,7 +157,7 @@
             latest_start=now,
             pause_s=held.pause_s,
         )
-        self.places.on_held(ask, held.version, now)
+        self.places.adopt_place(ask, held.version, now)
 
     def release(self, notice: PlaceRelease) -> None:
         """Free a place."""
@@ -165,7 +165,7 @@
         now = self._context.now()
         if notice.refused:
             not_held = notice.not_held
-            actions = self.places.on_refused_run(ask_id, now, not_held=not_held)
+            actions = self.places.on_run_refused(ask_id, now, not_held=not_held)
             self._carry_out(actions)
             self._look_by(now)
         else:
--- a/tests/test_decisions_engine_places.py
+++ b/tests/test_decisions_engine_places.py
@@ -166,7 +166,7 @@
             sent_at += 0.01
         early = sent_at - now < 0.25
         if early:
-            engine.on_refused_run(name, sent_at, not_held=True)
+            engine.on_run_refused(name, sent_at, not_held=True)
         else:
             engine.on_release(name, now + 1.0)
         engine.on_report(facts(now + 1.0, **{adapter: 1}), now + 1.0)
@@ -184,7 +184,7 @@
         engine.on_order_done(order, 0.0, at_once=False)
         [grant] = engine.decide(0.5)
         assert isinstance(grant, Grant) and not grant.confirmed
-        engine.on_refused_run("r1", 0.5, not_held=True)
+        engine.on_run_refused("r1", 0.5, not_held=True)
         assert engine.on_request(ask("r2", "a1", 0.5), 0.5) == []
         [grant] = engine.on_report(facts(0.7, a1=1), 0.7)
         assert isinstance(grant, Grant) and grant.confirmed
@@ -204,7 +204,7 @@
         [grant] = engine.on_request(ask("r1.0", "a1", 2.0), 2.0)
         assert isinstance(grant, Grant)
         engine.on_request(ask("r2.0", "a2", 2.0), 2.0)
-        assert engine.on_refused_run("r1.0", 2.1, not_held=True) == []
+        assert engine.on_run_refused("r1.0", 2.1, not_held=True) == []
         assert engine.on_report(facts(2.15), 2.15) == []
         [order] = engine.on_report(facts(2.3, a1=1), 2.3)
         assert order == OrderUnload(MODEL, "a1")
@@ -221,7 +221,7 @@
         """
         engine = places(slots=1)
         engine.on_report(facts(1.0, a1=1), 1.0)
-        engine.on_held(ask("old.0", "a1", 1.0), 1, 1.0)
+        engine.adopt_place(ask("old.0", "a1", 1.0), 1, 1.0)
         assert engine.on_request(ask("r.0", "a2", 1.1), 1.1) == []
         [order] = engine.on_release("old.0", 1.5)
         assert order == OrderUnload(MODEL, "a1")
