--- a/bamboovale/decisions/engine_places.py
+++ b/bamboovale/decisions/engine_places.py
@@ -276,7 +276,7 @@
             return pacing_s
         return max(pacing_s, self._busyness.backlog_s(ages_s, now))
 
-    def has_loads_coming(self) -> bool:
+    def awaits_report(self) -> bool:
         """Tell whether a fresh report would bring news."""
         return self._orders.loads_model() or self.slots.awaits_report()
 
@@ -284,7 +284,7 @@
         """Tell whether the engine loads its base model, which takes seconds."""
         return self._orders.loads_model()
 
-    def waiting(self) -> int:
+    def queue_length(self) -> int:
         """Return how many requests wait."""
         return len(self._queue)
 
--- a/bamboovale/emulator/owner.py
+++ b/bamboovale/emulator/owner.py
@@ -151,7 +151,7 @@
     def _report_forever(self) -> Generator[Any, Any, None]:
         while not self._stopped:
             yield self._env.process(self._report())
-            loading = self.places.has_loads_coming()
+            loading = self.places.awaits_report()
             yield self._env.timeout(REPORT_LOADING_S if loading else REPORT_IDLE_S)
 
     def _report(self) -> Generator[Any, Any, None]:
@@ -173,5 +173,5 @@
     def _tick_forever(self) -> Generator[Any, Any, None]:
         while not self._stopped:
             yield self._env.timeout(TICK_S)
-            if self.places.waiting():
+            if self.places.queue_length():
                 self._carry_out(self.places.decide(self._env.now))
--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -247,7 +247,7 @@
             ask=refusal.request.ask_id,
             adapter=refusal.request.adapter,
             reason=refusal.reason.name.lower(),
-            queued=self.places.waiting(),
+            queued=self.places.queue_length(),
         )
         reply = PlaceReply(
             refusal.request.ask_id,
@@ -293,7 +293,7 @@
             return FAILED_PAUSE_S
         if self.places.loads_model():
             return REPORT_MODEL_S
-        if self.places.has_loads_coming():
+        if self.places.awaits_report():
             return REPORT_LOADING_S
         return REPORT_IDLE_S
 
@@ -355,7 +355,7 @@
             pool_held_up = self._context.pool_held_up(self.record.service)
             self.places.pacing.pool_held_up = pool_held_up
             self.places.may_order = self._orders.may_order()
-            if self.places.waiting():
+            if self.places.queue_length():
                 self._carry_out(self.places.decide(self._context.now()))
 
     def _look_by(self, at: float) -> None:
@@ -366,7 +366,7 @@
 
     def _expect_news(self, now: float) -> None:
         """Look again when the load just ordered is about to end."""
-        if self.places.has_loads_coming():
+        if self.places.awaits_report():
             before_end_s = self.places.slots.load_s.value - 2 * REPORT_LOADING_S
             self._look_by(now + max(0.05, before_end_s))
 
