--- a/bamboovale/decisions/engine_places.py
+++ b/bamboovale/decisions/engine_places.py
@@ -159,7 +159,7 @@
     def on_stall(self, ask_id: str, pause_s: float, now: float) -> None:
         """Take word that a run's stream has just paused for long."""
         if ask_id in self._place_by_id:
-            self.pacing.on_pause(pause_s, now)
+            self.pacing.on_stall(pause_s, now)
 
     def adopt_place(self, ask: QueuedRequest, version: int, now: float) -> None:
         """Take over a place that the engine's last owner granted."""
@@ -233,7 +233,7 @@
             open_slots=self._open_slots(),
             kept=self.slots.held_kept,
             s_per_token=self.pacing.speed.s_per_token,
-            held_up=self.pacing.evidence.is_held_up(),
+            held_up=self.pacing.stall_detector.is_stalled(),
         )
 
     def summary(self, now: float) -> dict[str, Any]:
--- a/bamboovale/decisions/prompt_pacing.py
+++ b/bamboovale/decisions/prompt_pacing.py
@@ -18,7 +18,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from bamboovale.decisions.pause_evidence import PauseEvidence
+from bamboovale.decisions.stall_detector import StallDetector
 from bamboovale.decisions.reading_speed import ReadingSpeed
 
 PAUSE_SHARE = 0.8
@@ -54,8 +54,8 @@
 
     def __init__(self) -> None:
         self.speed = ReadingSpeed()
-        self.evidence = PauseEvidence()
-        self.pool_held_up = False
+        self.stall_detector = StallDetector()
+        self.pool_stalled = False
         self._spans: deque[_Span] = deque()
 
     def reading_s(self, tokens: int) -> float:
@@ -78,12 +78,12 @@
 
     def is_on(self) -> bool:
         """Tell whether prompts wait: reading holds streams up here or in the pool."""
-        return self.pool_held_up or self.evidence.is_held_up()
+        return self.pool_stalled or self.stall_detector.is_stalled()
 
-    def on_pause(self, pause_s: float, now: float) -> None:
+    def on_stall(self, pause_s: float, now: float) -> None:
         """Take word that a stream has just paused for long."""
         read_s = self._read_between(now - pause_s, now)
-        self.evidence.on_pause(pause_s, read_s, now)
+        self.stall_detector.on_stall(pause_s, read_s, now)
 
     def wait_s(self, tokens: int, pause_s: float | None, now: float) -> float:
         """Return how long a prompt waits so that no stream pauses too long."""
@@ -143,9 +143,9 @@
         Only from a prompt that was read alone: others share its steps, and all of a
         step's tokens come at its end.
         """
-        self.evidence.on_stream(now)
-        if not self.pool_held_up:
-            self.evidence.look_anew(now)
+        self.stall_detector.on_stream(now)
+        if not self.pool_stalled:
+            self.stall_detector.reset_if_old(now)
         if not self._spans:
             return
         last = self._spans[-1]
--- a/bamboovale/decisions/pause_evidence.py
+++ b/bamboovale/decisions/stall_detector.py
@@ -43,7 +43,7 @@
 not varied."""
 
 
-def is_pool_held_up(held_up: int, engines: int) -> bool:
+def is_pool_stalled(held_up: int, engines: int) -> bool:
     """Tell by its engines whether reading holds up the streams of a whole pool.
 
     Engines of a pool are alike, and each would spoil a batch of its own to learn it.
@@ -54,7 +54,7 @@
     return held_up > 0 and held_up >= least
 
 
-class PauseEvidence:
+class StallDetector:
     """Streams of one engine, and those that reading held up; times in seconds."""
 
     def __init__(self) -> None:
@@ -64,7 +64,7 @@
         self._is_held_up = False
         self._held_up_since = 0.0
 
-    def assume(self, now: float) -> None:
+    def assume_stalled(self, now: float) -> None:
         """Begin as held up, as the pool's other engines are; streams tell better."""
         if not self._streams:
             self._streams = ASSUMED_STREAMS
@@ -79,7 +79,7 @@
         self._streams += 1.0
         self._judge(now)
 
-    def on_pause(self, pause_s: float, read_s: float, now: float) -> None:
+    def on_stall(self, pause_s: float, read_s: float, now: float) -> None:
         """Count a stream's first long pause; the engine read for ``read_s`` of it."""
         if read_s < READ_SHARE * pause_s:
             return
@@ -87,11 +87,11 @@
         self._held_up += 1.0
         self._judge(now)
 
-    def is_held_up(self) -> bool:
+    def is_stalled(self) -> bool:
         """Tell whether reading holds up many of the engine's streams."""
         return self._is_held_up
 
-    def look_anew(self, now: float) -> None:
+    def reset_if_old(self, now: float) -> None:
         """Forget what was seen, if the engine has long been held up.
 
         For an engine that is held up alone: once its prompts are paced, the pauses
--- a/bamboovale/emulator/play.py
+++ b/bamboovale/emulator/play.py
@@ -15,7 +15,7 @@
 
 from bamboovale.decisions.engine_choice import EngineChooser
 from bamboovale.decisions.mechanisms import ALL_ON, Mechanisms
-from bamboovale.decisions.pause_evidence import is_pool_held_up
+from bamboovale.decisions.stall_detector import is_pool_stalled
 from bamboovale.emulator.caller import CallerRequest, EmulatedEntry
 from bamboovale.emulator.engine import EngineModel, SharedStore
 from bamboovale.emulator.outcomes import Outcome, Result
@@ -118,10 +118,10 @@
 
     def _note_held_up(self) -> None:
         owners = self._owner_by_name.values()
-        held_up = sum(owner.places.pacing.evidence.is_held_up() for owner in owners)
-        many = is_pool_held_up(held_up, len(owners))
+        held_up = sum(owner.places.pacing.stall_detector.is_stalled() for owner in owners)
+        many = is_pool_stalled(held_up, len(owners))
         for owner in owners:
-            owner.places.pacing.pool_held_up = many
+            owner.places.pacing.pool_stalled = many
 
     # Callers.
 
--- a/bamboovale/gateway/engine_assignment.py
+++ b/bamboovale/gateway/engine_assignment.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from bamboovale.decisions.pause_evidence import is_pool_held_up
+from bamboovale.decisions.stall_detector import is_pool_stalled
 from bamboovale.decisions.place_work import EngineCapacity
 from bamboovale.decisions.rendezvous import score
 from bamboovale.gateway.engine_owner import EngineOwner
@@ -89,7 +89,7 @@
         engines = (self._state.fleet.engine(record.endpoint_id) for record in records)
         statuses = (owned.status for owned in engines if owned is not None)
         held_up = sum(status is not None and status.held_up for status in statuses)
-        return is_pool_held_up(held_up, len(records))
+        return is_pool_stalled(held_up, len(records))
 
     def held_up_by_service(self) -> dict[str, bool]:
         """Return for each pool of engines whether it is held up."""
@@ -118,7 +118,7 @@
     def _assume(self, owner: EngineOwner) -> None:
         service = owner.record.service
         if self.pool_held_up(service) or self._notes.held_up(service):
-            owner.places.pacing.evidence.assume(self._state.now())
+            owner.places.pacing.stall_detector.assume_stalled(self._state.now())
 
     def on_fenced(self, record: EndpointRecord, token: int) -> None:
         """Take an engine's word that another VM used a higher fencing number."""
--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -129,10 +129,10 @@
     def paused(self, ask_id: str, pause_s: float) -> None:
         """Note a long pause of a run's stream."""
         now = self._context.now()
-        evidence = self.places.pacing.evidence
-        before = evidence.is_held_up()
+        evidence = self.places.pacing.stall_detector
+        before = evidence.is_stalled()
         self.places.on_stall(ask_id, pause_s, now)
-        if evidence.is_held_up() and not before:
+        if evidence.is_stalled() and not before:
             self._context.journal.write(
                 "engine_held_up",
                 engine=self.record.endpoint_id,
@@ -353,7 +353,7 @@
         while True:
             await asyncio.sleep(TICK_S)
             pool_held_up = self._context.pool_held_up(self.record.service)
-            self.places.pacing.pool_held_up = pool_held_up
+            self.places.pacing.pool_stalled = pool_held_up
             self.places.may_order = self._orders.may_order()
             if self.places.queue_length():
                 self._carry_out(self.places.decide(self._context.now()))
--- a/tests/test_decisions_prompt_pacing.py
+++ b/tests/test_decisions_prompt_pacing.py
@@ -6,7 +6,7 @@
 import pytest
 import simpy
 
-from bamboovale.decisions.pause_evidence import PauseEvidence, is_pool_held_up
+from bamboovale.decisions.stall_detector import StallDetector, is_pool_stalled
 from bamboovale.decisions.prompt_pacing import PromptPacing
 from bamboovale.decisions.reading_speed import ReadingSpeed
 from bamboovale.emulator.engine import (
@@ -53,7 +53,7 @@
         self.engine = EngineModel(self.env, self.figures, SharedStore())
         self.engine.version_by_adapter[KEY] = 1
         self.pacing = PromptPacing()
-        self.pacing.pool_held_up = self.paced
+        self.pacing.pool_stalled = self.paced
         self.queue: list[tuple[str, int, int, Stream]] = []
         self.streams: list[Stream] = []
 
@@ -85,7 +85,7 @@
             if not stream.event_at:
                 self.pacing.on_first_event(name, now)
             elif now - stream.event_at[-1] > self.pause_s >= stream.longest_pause_s:
-                self.pacing.on_pause(now - stream.event_at[-1], now)
+                self.pacing.on_stall(now - stream.event_at[-1], now)
             stream.event_at.append(now)
 
         run = EngineRun(
@@ -106,10 +106,10 @@
             self.env.run(self.env.now + 0.4)
 
 
-class Unheard(PauseEvidence):
+class Unheard(StallDetector):
     """Evidence that nobody gives."""
 
-    def on_pause(self, pause_s: float, read_s: float, now: float) -> None:
+    def on_stall(self, pause_s: float, read_s: float, now: float) -> None:
         """Take no notice."""
 
 
@@ -130,7 +130,7 @@
         for paced in (False, True):
             site = PacedEngine(figures, pause_s=0.3, paced=paced)
             if not paced:
-                site.pacing.evidence = Unheard()
+                site.pacing.stall_detector = Unheard()
             site.warm_up()
             running = [site.ask(300) for _ in range(2)]
             site.env.run(site.env.now + 1.0)
@@ -178,7 +178,7 @@
         for paced in (False, True):
             site = PacedEngine(FAST, pause_s=0.3, paced=paced)
             if not paced:
-                site.pacing.evidence = Unheard()
+                site.pacing.stall_detector = Unheard()
             site.warm_up()
             rng = random.Random(1)
             from_stream = len(site.streams)
@@ -236,9 +236,9 @@
         wait. Without evidence 0.55 of all streams paused too long, with it 0.13.
         """
         late_share = []
-        for evidence in (Unheard(), PauseEvidence()):
+        for detector in (Unheard(), StallDetector()):
             site = PacedEngine(FAST, pause_s=0.3)
-            site.pacing.evidence = evidence
+            site.pacing.stall_detector = detector
             streams = self.ask_in_clumps(site, 30.0)
             late = sum(stream.longest_pause_s > 0.3 for stream in streams)
             late_share.append(late / len(streams))
@@ -247,17 +247,17 @@
 
     def test_pauses_without_reading_are_no_evidence(self) -> None:
         """A VM stands still for a second: its streams pause, the engine was idle."""
-        evidence = PauseEvidence()
+        detector = StallDetector()
         for number in range(20):
-            evidence.on_stream(number * 0.01)
-            evidence.on_pause(1.0, 0.2, number * 0.01)
-        assert not evidence.is_held_up()
+            detector.on_stream(number * 0.01)
+            detector.on_stall(1.0, 0.2, number * 0.01)
+        assert not detector.is_stalled()
 
     def test_one_stream_alone_is_no_evidence(self) -> None:
-        evidence = PauseEvidence()
-        evidence.on_stream(0.0)
-        evidence.on_pause(0.3, 0.3, 0.1)
-        assert not evidence.is_held_up()
+        detector = StallDetector()
+        detector.on_stream(0.0)
+        detector.on_stall(0.3, 0.3, 0.1)
+        assert not detector.is_stalled()
 
     def test_an_engine_alone_is_not_paced_for_good(self) -> None:
         """Callers of one engine waited for places half a minute after its trouble.
@@ -268,28 +268,28 @@
         """
         pacing = PromptPacing()
         for number in range(10):
-            pacing.evidence.on_stream(number * 0.1)
-            pacing.evidence.on_pause(0.4, 0.4, number * 0.1)
+            pacing.stall_detector.on_stream(number * 0.1)
+            pacing.stall_detector.on_stall(0.4, 0.4, number * 0.1)
         assert pacing.is_on()
         for number in range(100):
             now = 1.0 + number * 0.1
             pacing.on_first_event(f"r{number}", now)
             if number % 30 == 29:
-                pacing.evidence.on_pause(0.4, 0.4, now)
+                pacing.stall_detector.on_stall(0.4, 0.4, now)
         assert not pacing.is_on()
 
     def test_an_engine_of_a_pool_that_is_held_up_stays_paced(self) -> None:
         pacing = PromptPacing()
-        pacing.pool_held_up = True
+        pacing.pool_stalled = True
         for number in range(10):
-            pacing.evidence.on_stream(number * 0.1)
-            pacing.evidence.on_pause(0.4, 0.4, number * 0.1)
+            pacing.stall_detector.on_stream(number * 0.1)
+            pacing.stall_detector.on_stall(0.4, 0.4, number * 0.1)
         for number in range(100):
             now = 1.0 + number * 0.1
             pacing.on_first_event(f"r{number}", now)
             if number % 30 == 29:
-                pacing.evidence.on_pause(0.4, 0.4, now)
-        assert pacing.evidence.is_held_up()
+                pacing.stall_detector.on_stall(0.4, 0.4, now)
+        assert pacing.stall_detector.is_stalled()
 
     @pytest.mark.parametrize(
         "held_up, engines, is_pool",
@@ -315,22 +315,22 @@
         where pauses are wide: 0.74 of what a heavy day could earn was served, 0.79 on
         the same day with none paced.
         """
-        assert is_pool_held_up(held_up, engines) is is_pool
+        assert is_pool_stalled(held_up, engines) is is_pool
 
     def test_it_ends_once_nearly_no_stream_is_held_up(self) -> None:
-        evidence = PauseEvidence()
+        detector = StallDetector()
         for number in range(10):
-            evidence.on_stream(number * 0.1)
-            evidence.on_pause(0.3, 0.3, number * 0.1)
-        assert evidence.is_held_up()
+            detector.on_stream(number * 0.1)
+            detector.on_stall(0.3, 0.3, number * 0.1)
+        assert detector.is_stalled()
         for number in range(100):
-            evidence.on_stream(1.0 + number * 0.1)
+            detector.on_stream(1.0 + number * 0.1)
             if number % 10 == 0:
-                evidence.on_pause(0.3, 0.3, 1.0 + number * 0.1)
-        assert evidence.is_held_up()
+                detector.on_stall(0.3, 0.3, 1.0 + number * 0.1)
+        assert detector.is_stalled()
         for number in range(200):
-            evidence.on_stream(11.0 + number * 0.1)
-        assert not evidence.is_held_up()
+            detector.on_stream(11.0 + number * 0.1)
+        assert not detector.is_stalled()
 
 
 class TestBacklog:
--- a/tests/test_gateway_pool_notes.py
+++ b/tests/test_gateway_pool_notes.py
@@ -4,7 +4,7 @@
 import logging
 from typing import Any
 
-from bamboovale.decisions.pause_evidence import PauseEvidence
+from bamboovale.decisions.stall_detector import StallDetector
 from bamboovale.gateway.journal import Journal
 from bamboovale.gateway.pool_notes import KEY_PREFIX, QUIET_S, PoolNotes
 from bamboovale.gateway.store import KeyedRecord, StoreError
@@ -101,7 +101,7 @@
             async with running_site(vms=2, runners=2) as site:
                 for item in site.owned().values():
                     for owner in item.vm._engines.owner_by_engine.values():
-                        owner.places.pacing.evidence.assume(0.0)
+                        owner.places.pacing.stall_detector.assume_stalled(0.0)
                 await eventually(lambda: _has_note(site))
                 for item in site.vms:
                     item.task.cancel()
@@ -131,12 +131,12 @@
     """What a new owner begins with."""
 
     def test_it_is_forgotten_where_no_stream_is_held_up(self) -> None:
-        evidence = PauseEvidence()
-        evidence.assume(5000.0)
-        assert evidence.is_held_up()
+        evidence = StallDetector()
+        evidence.assume_stalled(5000.0)
+        assert evidence.is_stalled()
         for number in range(300):
             evidence.on_stream(5000.0 + number * 0.1)
-        assert not evidence.is_held_up()
+        assert not evidence.is_stalled()
 
     def test_the_first_streams_do_not_end_it(self) -> None:
         """All VMs restart; the clocks of their processes show thousands of seconds.
@@ -144,8 +144,8 @@
         Counted as seen at second 0, the assumption had faded away with the first
         stream, and the crowd of returning callers met engines without pacing.
         """
-        evidence = PauseEvidence()
-        evidence.assume(97_766.0)
+        evidence = StallDetector()
+        evidence.assume_stalled(97_766.0)
         for number in range(20):
             evidence.on_stream(97_766.5 + number * 0.1)
-        assert evidence.is_held_up()
+        assert evidence.is_stalled()
