--- a/bamboovale/decisions/engine_choice.py
+++ b/bamboovale/decisions/engine_choice.py
@@ -70,8 +70,8 @@
         batch_s = ACTIVE_COST_S * snapshot.active
         full_s = FULL_COST_S if snapshot.active >= snapshot.places else 0.0
         own_s = snapshot.s_per_token * self.own_tokens
-        reading_s = snapshot.s_per_token * prompt_tokens
-        return snapshot.backlog_s + own_s + reading_s + batch_s + full_s
+        prefill_s = snapshot.s_per_token * prompt_tokens
+        return snapshot.backlog_s + own_s + prefill_s + batch_s + full_s
 
     def load_cost_s(
         self,
--- a/bamboovale/decisions/engine_places.py
+++ b/bamboovale/decisions/engine_places.py
@@ -151,7 +151,7 @@
             return
         place.started = True
         tokens = place.request.prompt_tokens
-        late_s = now - place.granted_at - self.pacing.reading_s(tokens)
+        late_s = now - place.granted_at - self.pacing.prefill_s(tokens)
         self._busyness.on_first_event(late_s, now)
         if self._mechanisms.has(Mechanism.READING_SPEED):
             self.pacing.on_first_event(ask_id, now)
@@ -264,7 +264,7 @@
 
     def _backlog_s(self, now: float) -> float:
         ages_s = [
-            now - place.granted_at - self.pacing.reading_s(place.request.prompt_tokens)
+            now - place.granted_at - self.pacing.prefill_s(place.request.prompt_tokens)
             for place in self._place_by_id.values()
             if not place.started
         ]
@@ -301,8 +301,8 @@
 
         def place_in_queue(ask: QueuedRequest) -> tuple[bool, float]:
             start_s = 0.0 if self.slots.is_loaded(ask.key) else load_s
-            reading_s = self.pacing.reading_s(ask.prompt_tokens)
-            late = now + start_s + reading_s + FIRST_TOKEN_S > ask.goal_at
+            prefill_s = self.pacing.prefill_s(ask.prompt_tokens)
+            late = now + start_s + prefill_s + FIRST_TOKEN_S > ask.goal_at
             return late, ask.latest_start if late else ask.goal_at
 
         self._queue.sort(key=place_in_queue)
--- a/bamboovale/decisions/reading_speed.py
+++ b/bamboovale/decisions/prefill_speed.py
@@ -38,7 +38,7 @@
 FIXED_BOUNDS_S = (0.005, 0.5)
 
 
-class ReadingSpeed:
+class PrefillSpeed:
     """A quantile line through (tokens, seconds)."""
 
     def __init__(self) -> None:
@@ -47,13 +47,13 @@
         self._usual_tokens = MovingAverage(GUESS_TOKENS)
         self._seen = 0
 
-    def reading_s(self, tokens: int) -> float:
+    def prefill_s(self, tokens: int) -> float:
         """Return how long a prompt keeps the engine reading."""
         return tokens * self.s_per_token
 
     def first_event_s(self, tokens: int) -> float:
         """Return from sending a prompt to its first event, at an idle engine."""
-        return self.fixed_s + self.reading_s(tokens)
+        return self.fixed_s + self.prefill_s(tokens)
 
     def add(self, tokens: int, seconds: float) -> None:
         """Count a prompt that was read alone."""
--- a/bamboovale/decisions/prompt_pacing.py
+++ b/bamboovale/decisions/prompt_pacing.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass
 
 from bamboovale.decisions.stall_detector import StallDetector
-from bamboovale.decisions.reading_speed import ReadingSpeed
+from bamboovale.decisions.prefill_speed import PrefillSpeed
 
 PAUSE_SHARE = 0.8
 """Of the allowed pause, what reading may take: three steps of an event take a tenth to
@@ -53,16 +53,16 @@
     """
 
     def __init__(self) -> None:
-        self.speed = ReadingSpeed()
+        self.speed = PrefillSpeed()
         self.stall_detector = StallDetector()
         self.pool_stalled = False
         self._spans: deque[_Span] = deque()
 
-    def reading_s(self, tokens: int) -> float:
+    def prefill_s(self, tokens: int) -> float:
         """Return how long the engine reads a prompt."""
-        return self.speed.reading_s(tokens)
+        return self.speed.prefill_s(tokens)
 
-    def reads_until(self, now: float) -> float:
+    def prefill_ends_at(self, now: float) -> float:
         """Return when everything granted so far should be read."""
         return max(now, self._spans[-1].ends_at) if self._spans else now
 
@@ -71,10 +71,10 @@
 
         Unpaced, those in the queue wait for their adapters, and nobody behind them.
         """
-        left_s = self.reads_until(now) - now
+        left_s = self.prefill_ends_at(now) - now
         if not self.is_on():
             return left_s
-        return left_s + self.reading_s(queued_tokens) / PAUSE_SHARE
+        return left_s + self.prefill_s(queued_tokens) / PAUSE_SHARE
 
     def is_on(self) -> bool:
         """Tell whether prompts wait: reading holds streams up here or in the pool."""
@@ -89,13 +89,13 @@
         """Return how long a prompt waits so that no stream pauses too long."""
         if pause_s is None or not self._spans or not self.is_on():
             return 0.0
-        reading_s = self.reading_s(tokens)
-        spare_s = PAUSE_SHARE * pause_s - reading_s
+        prefill_s = self.prefill_s(tokens)
+        spare_s = PAUSE_SHARE * pause_s - prefill_s
         if spare_s < 0.0:
-            clear_at = self.reads_until(now) + CLEAR_SHARE * pause_s
+            clear_at = self.prefill_ends_at(now) + CLEAR_SHARE * pause_s
             idle = self._spans[-1].ends_at + CLEAR_SHARE * pause_s <= now
             return 0.0 if idle else max(LOOK_AGAIN_S, clear_at - now)
-        return self._wait_for_spare(spare_s, pause_s - reading_s, now)
+        return self._wait_for_spare(spare_s, pause_s - prefill_s, now)
 
     def _wait_for_spare(self, spare_s: float, behind_s: float, now: float) -> float:
         """Return when the stretch of ``behind_s`` before a prompt holds little enough.
@@ -103,7 +103,7 @@
         Its own reading follows what is granted already; the stretch moves on until the
         reading in it fits into ``spare_s``.
         """
-        start = self.reads_until(now)
+        start = self.prefill_ends_at(now)
         begins = start - behind_s
         over_s = self._read_between(begins, start) - spare_s
         if over_s <= 0.0:
@@ -129,8 +129,8 @@
         """Count a prompt that is sent now."""
         while self._spans and now - self._spans[0].ends_at > KEPT_S:
             self._spans.popleft()
-        starts_at = self.reads_until(now)
-        ends_at = starts_at + self.reading_s(tokens)
+        starts_at = self.prefill_ends_at(now)
+        ends_at = starts_at + self.prefill_s(tokens)
         self._spans.append(_Span(ask_id, tokens, now, starts_at, ends_at))
 
     def on_refused(self, ask_id: str) -> None:
--- a/bamboovale/gateway/engines.py
+++ b/bamboovale/gateway/engines.py
@@ -9,7 +9,7 @@
 
 from bamboovale.decisions.engine_choice import EngineCandidate
 from bamboovale.decisions.place_work import AdapterKey, EngineSnapshot
-from bamboovale.decisions.reading_speed import GUESS_S_PER_TOKEN
+from bamboovale.decisions.prefill_speed import GUESS_S_PER_TOKEN
 from bamboovale.gateway.engine_owner import EngineOwner
 from bamboovale.gateway.fleet import Fleet
 from bamboovale.gateway.messages import (
--- a/tests/engine_load_play.py
+++ b/tests/engine_load_play.py
@@ -80,7 +80,7 @@
     loading: set[AdapterKey] = field(default_factory=set)
     host: OrderedDict[AdapterKey, None] = field(default_factory=OrderedDict)
     running: int = 0
-    reads_until: float = 0.0
+    prefill_ends_at: float = 0.0
 
 
 @dataclass
@@ -240,9 +240,9 @@
 
     def _start(self, engine: _Engine, ask: QueuedRequest) -> None:
         engine.running += 1
-        began = max(self._now, engine.reads_until)
-        engine.reads_until = began + ask.prompt_tokens / READ_TOKENS_PER_S
-        first_at = engine.reads_until + 0.08 * engine.speed
+        began = max(self._now, engine.prefill_ends_at)
+        engine.prefill_ends_at = began + ask.prompt_tokens / READ_TOKENS_PER_S
+        first_at = engine.prefill_ends_at + 0.08 * engine.speed
         pace_s = TOKEN_S * engine.speed * (1.0 + SLOWER_BY_RUN * engine.running)
         arrived, tokens = self._arrived_by_ask.pop(ask.ask_id)
         self._at(first_at, lambda: self._first(engine, ask, arrived))
--- a/tests/test_decisions_prompt_pacing.py
+++ b/tests/test_decisions_prompt_pacing.py
@@ -8,7 +8,7 @@
 
 from bamboovale.decisions.stall_detector import StallDetector, is_pool_stalled
 from bamboovale.decisions.prompt_pacing import PromptPacing
-from bamboovale.decisions.reading_speed import ReadingSpeed
+from bamboovale.decisions.prefill_speed import PrefillSpeed
 from bamboovale.emulator.engine import (
     EngineFigures,
     EngineModel,
@@ -340,14 +340,14 @@
         pacing = PromptPacing()
         pacing.on_granted("r1", 8000, 0.0)
         pacing.on_granted("r2", 8000, 0.1)
-        assert abs(pacing.reads_until(0.1) - 0.8) < 1e-6
-        assert pacing.reads_until(0.9) == 0.9
+        assert abs(pacing.prefill_ends_at(0.1) - 0.8) < 1e-6
+        assert pacing.prefill_ends_at(0.9) == 0.9
 
     def test_a_prompt_that_was_refused_is_not_read(self) -> None:
         pacing = PromptPacing()
         pacing.on_granted("r1", 8000, 0.0)
         pacing.on_refused("r1")
-        assert pacing.reads_until(0.0) == 0.0
+        assert pacing.prefill_ends_at(0.0) == 0.0
 
 
 class TestReadingSpeed:
@@ -355,7 +355,7 @@
 
     @pytest.mark.parametrize("tokens_per_s", [5_000, 13_000, 40_000])
     def test_engines_unlike_the_guess_are_found_out(self, tokens_per_s: int) -> None:
-        speed = ReadingSpeed()
+        speed = PrefillSpeed()
         rng = random.Random(4)
         for _ in range(80):
             tokens = rng.randint(200, 3000)
@@ -368,7 +368,7 @@
         Followed, an engine was taken to read twenty times as fast as it does, and was
         sent prompt upon prompt.
         """
-        speed = ReadingSpeed()
+        speed = PrefillSpeed()
         rng = random.Random(5)
         for number in range(300):
             tokens = rng.randint(200, 3000)
