--- a/bamboovale/decisions/loads.py
+++ b/bamboovale/decisions/loads.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class LoadAsk:
+class LoadRequest:
     """A holder's wish for a turn."""
 
     engine_id: str
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True)
-class LoadTurn:
+class LoadGrant:
     """A turn given; ``number`` ends it."""
 
     number: int
@@ -68,37 +68,37 @@
 
     def __init__(self, config: LoadConfig) -> None:
         self._config = config
-        self._ask_by_key: dict[tuple[str, str], LoadAsk] = {}
-        self.turn_by_number: dict[int, LoadTurn] = {}
+        self._request_by_key: dict[tuple[str, str], LoadRequest] = {}
+        self.grant_by_number: dict[int, LoadGrant] = {}
         self._tokens = float(config.at_once)
         self._filled_at: float | None = None
         self._numbers = 0
         self._failures = 0
         self._probe_from = 0.0
 
-    def on_ask(
+    def on_request(
         self,
         engine_id: str,
         lora_name: str,
         weight: float,
         now: float,
-    ) -> list[LoadTurn]:
+    ) -> list[LoadGrant]:
         """Take a wish, or renew its weight."""
         key = (engine_id, lora_name)
-        known = self._ask_by_key.get(key)
+        known = self._request_by_key.get(key)
         asked_at = known.asked_at if known else now
-        self._ask_by_key[key] = LoadAsk(engine_id, lora_name, weight, asked_at, now)
+        self._request_by_key[key] = LoadRequest(engine_id, lora_name, weight, asked_at, now)
         return self._give(now)
 
-    def on_withdrawn(self, engine_id: str, now: float) -> list[LoadTurn]:
+    def on_withdrawn(self, engine_id: str, now: float) -> list[LoadGrant]:
         """Drop all wishes of an engine that restarted, left or changed its holder."""
-        for key in [key for key in self._ask_by_key if key[0] == engine_id]:
-            del self._ask_by_key[key]
+        for key in [key for key in self._request_by_key if key[0] == engine_id]:
+            del self._request_by_key[key]
         return self._give(now)
 
-    def on_done(self, number: int, now: float, *, loaded: bool) -> list[LoadTurn]:
+    def on_done(self, number: int, now: float, *, loaded: bool) -> list[LoadGrant]:
         """End a turn after its load succeeded or failed."""
-        if self.turn_by_number.pop(number, None) is None:
+        if self.grant_by_number.pop(number, None) is None:
             return self._give(now)
         if loaded:
             self._failures = 0
@@ -108,42 +108,42 @@
             self._probe_from = now + pause
         return self._give(now)
 
-    def on_returned(self, number: int, now: float) -> list[LoadTurn]:
+    def on_returned(self, number: int, now: float) -> list[LoadGrant]:
         """Take back a turn that was not used: the store served nothing for it."""
-        if self.turn_by_number.pop(number, None) is not None:
+        if self.grant_by_number.pop(number, None) is not None:
             self._tokens += 1.0
         return self._give(now)
 
-    def on_tick(self, now: float) -> list[LoadTurn]:
+    def on_tick(self, now: float) -> list[LoadGrant]:
         """End turns and wishes whose holder fell silent; the rate allows more."""
-        for number, turn in list(self.turn_by_number.items()):
+        for number, turn in list(self.grant_by_number.items()):
             if now >= turn.ends_at:
-                del self.turn_by_number[number]
-        for key, ask in list(self._ask_by_key.items()):
+                del self.grant_by_number[number]
+        for key, ask in list(self._request_by_key.items()):
             if now - ask.renewed_at > ASK_FORGOTTEN_S:
-                del self._ask_by_key[key]
+                del self._request_by_key[key]
         return self._give(now)
 
     @property
-    def asks(self) -> int:
+    def pending(self) -> int:
         """Return the number of wishes that wait."""
-        return len(self._ask_by_key)
+        return len(self._request_by_key)
 
-    def _give(self, now: float) -> list[LoadTurn]:
+    def _give(self, now: float) -> list[LoadGrant]:
         self._fill(now)
-        turns: list[LoadTurn] = []
-        while self._ask_by_key and self._may_give(now):
-            ask = min(self._ask_by_key.values(), key=lambda ask: self._rank(ask, now))
-            del self._ask_by_key[ask.engine_id, ask.lora_name]
+        turns: list[LoadGrant] = []
+        while self._request_by_key and self._may_give(now):
+            ask = min(self._request_by_key.values(), key=lambda ask: self._rank(ask, now))
+            del self._request_by_key[ask.engine_id, ask.lora_name]
             self._tokens -= 1.0
             self._numbers += 1
-            turn = LoadTurn(
+            turn = LoadGrant(
                 self._numbers,
                 ask.engine_id,
                 ask.lora_name,
                 now + TURN_ENDS_S,
             )
-            self.turn_by_number[turn.number] = turn
+            self.grant_by_number[turn.number] = turn
             turns.append(turn)
         return turns
 
@@ -151,9 +151,9 @@
         at_once = 1 if self._failures else self._config.at_once
         if self._failures and now < self._probe_from:
             return False
-        return self._tokens >= 1.0 and len(self.turn_by_number) < at_once
+        return self._tokens >= 1.0 and len(self.grant_by_number) < at_once
 
-    def _rank(self, ask: LoadAsk, now: float) -> tuple[float, str, str]:
+    def _rank(self, ask: LoadRequest, now: float) -> tuple[float, str, str]:
         if not self._config.by_weight:
             return (ask.asked_at, ask.engine_id, ask.lora_name)
         weight = ask.weight + AGE_WEIGHT_PER_S * (now - ask.renewed_at)
--- a/bamboovale/engines/load_turns.py
+++ b/bamboovale/engines/load_turns.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from bamboovale.actors import MessageActor, Tick
-from bamboovale.decisions.loads import LoadConfig, LoadScheduler, LoadTurn
+from bamboovale.decisions.loads import LoadConfig, LoadScheduler, LoadGrant
 from bamboovale.environment import Environment
 from bamboovale.leases.messages import WEIGHT_STORE
 from bamboovale.peers.messages import LoadTurnAsk, LoadTurnEnded, LoadTurnGiven
@@ -90,7 +90,7 @@
         now = self._environment.now()
         if self._scheduler is not None and self._valid():
             key = (ask.engine_id, ask.lora_name, ask.weight)
-            turns = self._scheduler.on_ask(*key, now)
+            turns = self._scheduler.on_request(*key, now)
             self._vm_by_engine[ask.engine_id] = message.from_vm
             self._deliver(turns)
         elif message.from_vm == self._own_id:
@@ -105,7 +105,7 @@
         if len(usable) != self._share_of:
             self._share_of = len(usable)
             self._share = LoadScheduler.static_share(self._config, self._share_of)
-        turns = self._share.on_ask(ask.engine_id, ask.lora_name, ask.weight, now)
+        turns = self._share.on_request(ask.engine_id, ask.lora_name, ask.weight, now)
         self._deliver_share(turns)
 
     def _on_ended(self, message: TurnEnded) -> None:
@@ -126,7 +126,7 @@
     def _share_name(self) -> str:
         return f"{self._own_id}:share"
 
-    def _deliver(self, turns: list[LoadTurn]) -> None:
+    def _deliver(self, turns: list[LoadGrant]) -> None:
         for turn in turns:
             given = LoadTurnGiven(
                 turn.engine_id,
@@ -140,7 +140,7 @@
             else:
                 self._send(vm_id, given)
 
-    def _deliver_share(self, turns: list[LoadTurn]) -> None:
+    def _deliver_share(self, turns: list[LoadGrant]) -> None:
         for turn in turns:
             self._give(
                 LoadTurnGiven(
@@ -155,13 +155,13 @@
         scheduler = self._scheduler
         return {
             "is_scheduler": scheduler is not None,
-            "asks": 0 if scheduler is None else scheduler.asks,
-            "turns": 0 if scheduler is None else len(scheduler.turn_by_number),
+            "asks": 0 if scheduler is None else scheduler.pending,
+            "turns": 0 if scheduler is None else len(scheduler.grant_by_number),
             "static_share_of": self._share_of,
         }
 
 
-def _end(scheduler: LoadScheduler, ended: LoadTurnEnded, now: float) -> list[LoadTurn]:
+def _end(scheduler: LoadScheduler, ended: LoadTurnEnded, now: float) -> list[LoadGrant]:
     if ended.used:
         return scheduler.on_done(ended.number, now, loaded=ended.loaded)
     return scheduler.on_returned(ended.number, now)
--- a/bench/decision_speed.py
+++ b/bench/decision_speed.py
@@ -116,7 +116,7 @@
     def step(number: int) -> None:
         now = number / 100
         engine = f"g{number % endpoints}"
-        turns = scheduler.on_ask(engine, asked[number % len(asked)], 1.0, now)
+        turns = scheduler.on_request(engine, asked[number % len(asked)], 1.0, now)
         for turn in turns:
             scheduler.on_done(turn.number, now, loaded=True)
         if number % 10 == 0:
--- a/bench/virtual_time.py
+++ b/bench/virtual_time.py
@@ -13,7 +13,7 @@
 from functools import partial
 
 from bamboovale.decisions.dispatch import DispatchConfig, EngineDispatch
-from bamboovale.decisions.loads import LoadConfig, LoadScheduler, LoadTurn
+from bamboovale.decisions.loads import LoadConfig, LoadScheduler, LoadGrant
 from bamboovale.decisions.placement import (
     EnginePlacement,
     EngineSite,
@@ -161,7 +161,7 @@
     loading: int = 0
     unloading: set[str] = field(default_factory=set)
     running: dict[str, Permit] = field(default_factory=dict)
-    turns: list[LoadTurn] = field(default_factory=list)
+    turns: list[LoadGrant] = field(default_factory=list)
     waiting: int = 0
 
 
@@ -476,7 +476,7 @@
 
     def _ask_turn(self, engine: Engine, ask: AskLoadSlot) -> None:
         def arrive() -> None:
-            turns = self.scheduler.on_ask(
+            turns = self.scheduler.on_request(
                 engine.site.engine_id,
                 ask.lora_name,
                 ask.weight,
@@ -486,12 +486,12 @@
 
         self.loop.after(self._hop, arrive)
 
-    def _give(self, turns: list[LoadTurn]) -> None:
+    def _give(self, turns: list[LoadGrant]) -> None:
         for turn in turns:
             engine = self.engine_by_id[turn.engine_id]
             self.loop.after(self._hop, partial(self._use_turn, engine, turn))
 
-    def _use_turn(self, engine: Engine, turn: LoadTurn) -> None:
+    def _use_turn(self, engine: Engine, turn: LoadGrant) -> None:
         engine.turns.append(turn)
         actions = engine.dispatch.on_load_slot(turn.lora_name, self.loop.now)
         self._carry_out(engine, actions)
--- a/tests/test_decisions_loads.py
+++ b/tests/test_decisions_load_scheduler.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from bamboovale.decisions.loads import LoadConfig, LoadScheduler, LoadTurn
+from bamboovale.decisions.loads import LoadConfig, LoadScheduler, LoadGrant
 
 CONFIG = LoadConfig(rate_per_s=5.0, at_once=2)
 
@@ -18,9 +18,9 @@
         self.scheduler = LoadScheduler.from_config(CONFIG)
         self.given = 0
         self.returned = 0
-        self.open: list[LoadTurn] = []
+        self.open: list[LoadGrant] = []
 
-    def take(self, turns: list[LoadTurn]) -> None:
+    def take(self, turns: list[LoadGrant]) -> None:
         self.given += len(turns)
         self.open += turns
 
@@ -30,7 +30,7 @@
         weight=st.floats(0.1, 50.0),
     )
     def ask(self, engine: str, name: str, weight: float) -> None:
-        self.take(self.scheduler.on_ask(engine, name, weight, self.now))
+        self.take(self.scheduler.on_request(engine, name, weight, self.now))
 
     @precondition(lambda self: self.open)
     @rule(loaded=st.booleans())
@@ -42,7 +42,7 @@
     @rule()
     def give_back(self) -> None:
         turn = self.open.pop(0)
-        self.returned += turn.number in self.scheduler.turn_by_number
+        self.returned += turn.number in self.scheduler.grant_by_number
         self.take(self.scheduler.on_returned(turn.number, self.now))
 
     @rule(seconds=st.sampled_from([0.05, 0.5, 4.0]))
@@ -52,15 +52,15 @@
 
     @invariant()
     def keeps_limits(self) -> None:
-        assert len(self.scheduler.turn_by_number) <= CONFIG.at_once
+        assert len(self.scheduler.grant_by_number) <= CONFIG.at_once
         most = CONFIG.at_once + CONFIG.rate_per_s * self.now
         assert self.given - self.returned <= most + 1e-6
-        assert self.scheduler.asks <= 18
+        assert self.scheduler.pending <= 18
 
     def teardown(self) -> None:
         """Silent holders or a failing store never block it for good."""
         for _ in range(400):
-            turns = self.scheduler.on_ask("e9", "z", 0.1, self.now)
+            turns = self.scheduler.on_request("e9", "z", 0.1, self.now)
             turns += self.scheduler.on_tick(self.now)
             while turns:
                 turn = turns.pop()
@@ -85,19 +85,19 @@
 
     def test_heavier_ask_goes_first(self) -> None:
         scheduler = LoadScheduler.from_config(CONFIG)
-        first = scheduler.on_ask("e1", "a", 1.0, 0.0)
-        first += scheduler.on_ask("e1", "b", 1.0, 0.0)
+        first = scheduler.on_request("e1", "a", 1.0, 0.0)
+        first += scheduler.on_request("e1", "b", 1.0, 0.0)
         assert len(first) == 2
-        scheduler.on_ask("e2", "light", 1.0, 0.1)
-        scheduler.on_ask("e3", "heavy", 9.0, 0.1)
+        scheduler.on_request("e2", "light", 1.0, 0.1)
+        scheduler.on_request("e3", "heavy", 9.0, 0.1)
         (turn,) = scheduler.on_done(first[0].number, 0.4, loaded=True)
         assert turn.lora_name == "heavy"
 
     def test_failing_store_is_probed_by_one_load(self) -> None:
         scheduler = LoadScheduler.from_config(CONFIG)
-        turns = scheduler.on_ask("e1", "a", 1.0, 0.0)
-        scheduler.on_ask("e2", "b", 1.0, 0.0)
-        scheduler.on_ask("e3", "c", 1.0, 0.0)
+        turns = scheduler.on_request("e1", "a", 1.0, 0.0)
+        scheduler.on_request("e2", "b", 1.0, 0.0)
+        scheduler.on_request("e3", "c", 1.0, 0.0)
         assert scheduler.on_done(turns[0].number, 0.1, loaded=False) == []
         assert scheduler.on_tick(0.5) == []
 
@@ -106,7 +106,7 @@
         given = []
         for number in range(100):
             now = number / 10
-            given += share.on_ask("e1", f"a{number}", 1.0, now)
-            for turn in list(share.turn_by_number.values()):
+            given += share.on_request("e1", f"a{number}", 1.0, now)
+            for turn in list(share.grant_by_number.values()):
                 given += share.on_done(turn.number, now, loaded=True)
         assert len(given) <= 1 + 5.0 * 10 / 10
