--- a/bamboovale/decisions/dispatch.py
+++ b/bamboovale/decisions/dispatch.py
@@ -207,9 +207,9 @@
 
     # Events from the load scheduler, the lease and the catalogue.
 
-    def on_load_slot(self, lora_name: str, now: float) -> list[Action]:
+    def on_load_grant(self, lora_name: str, now: float) -> list[Action]:
         """Use a turn at the weight store."""
-        return self._planner.turn(lora_name, now) + self._decide(now)
+        return self._planner.on_load_grant(lora_name, now) + self._decide(now)
 
     def on_new_version(
         self,
--- a/bamboovale/decisions/loading.py
+++ b/bamboovale/decisions/loading.py
@@ -29,10 +29,10 @@
 )
 from bamboovale.decisions.work import (
     Action,
-    AskLoadSlot,
+    RequestLoadGrant,
     EngineView,
     Load,
-    ReturnLoadSlot,
+    ReturnLoadGrant,
     Unload,
     WorkItem,
 )
@@ -159,7 +159,7 @@
         if newcomer is None:
             return []
         if not self.may_order:
-            return [ReturnLoadSlot(newcomer)]
+            return [ReturnLoadGrant(newcomer)]
         return self._load(newcomer, now)
 
     # What may be served.
@@ -219,14 +219,14 @@
         self._plan_drain(missing, now)
         return actions
 
-    def turn(self, name: str, now: float) -> list[Action]:
+    def on_load_grant(self, name: str, now: float) -> list[Action]:
         """Use a turn at the weight store: evict or load, or give it back.
 
         A turn is a turn: if its adapter needs none any more, the best other one
         takes it.
         """
         ask = self.ask_by_name.pop(name, None)
-        unused: list[Action] = [ReturnLoadSlot(name)]
+        unused: list[Action] = [ReturnLoadGrant(name)]
         if not self.may_order or self._loads_under_way() >= self._loads_allowed():
             return unused
         missing = self._missing(now)
@@ -282,7 +282,7 @@
         for name, ask in self.ask_by_name.items():
             if now - ask.sent_at >= ASK_AGAIN_S:
                 ask.sent_at = now
-                actions.append(AskLoadSlot(name, missing[name]))
+                actions.append(RequestLoadGrant(name, missing[name]))
         return actions
 
     def _ask_more(self, missing: dict[str, float], now: float) -> list[Action]:
@@ -295,7 +295,7 @@
             if len(self.ask_by_name) >= self._asks_allowed(worth, evictable, now):
                 break
             self.ask_by_name[name] = Ask(first_at=now, sent_at=now)
-            actions.append(AskLoadSlot(name, worth))
+            actions.append(RequestLoadGrant(name, worth))
         return actions
 
     def _asks_allowed(
--- a/bamboovale/decisions/work.py
+++ b/bamboovale/decisions/work.py
@@ -90,7 +90,7 @@
 
 
 @dataclass(frozen=True)
-class AskLoadSlot:
+class RequestLoadGrant:
     """Ask the load scheduler for a turn at the weight store.
 
     ``weight`` grows with the work that waits for the adapter.
@@ -116,13 +116,13 @@
 
 
 @dataclass(frozen=True)
-class ReturnLoadSlot:
+class ReturnLoadGrant:
     """Tell the load scheduler that a turn is not needed any more."""
 
     lora_name: str
 
 
-Action = Grant | Refuse | AskLoadSlot | ReturnLoadSlot | Load | Unload
+Action = Grant | Refuse | RequestLoadGrant | ReturnLoadGrant | Load | Unload
 
 
 @dataclass(frozen=True)
--- a/bamboovale/engines/holder.py
+++ b/bamboovale/engines/holder.py
@@ -15,13 +15,13 @@
 from bamboovale.decisions.dispatch import DispatchConfig, EngineDispatch
 from bamboovale.decisions.policy import Policy
 from bamboovale.decisions.work import (
-    AskLoadSlot,
+    RequestLoadGrant,
     EngineHint,
     Grant,
     Load,
     Permit,
     Refuse,
-    ReturnLoadSlot,
+    ReturnLoadGrant,
     WorkItem,
 )
 from bamboovale.engines.client import EngineAddress
@@ -299,7 +299,7 @@
         """Use a turn; it may go to another adapter than it was asked for."""
         self._turns.append(message.turn)
         name = message.turn.lora_name
-        self._carry_out(self._dispatch.on_load_slot(name, self._now()))
+        self._carry_out(self._dispatch.on_load_grant(name, self._now()))
 
     def _end_turn(self, *, used: bool, loaded: bool) -> None:
         if self._turns:
@@ -330,9 +330,9 @@
                 self._grant(action.permit)
             elif isinstance(action, Refuse):
                 self._refuse(action.request_id, action.refusal)
-            elif isinstance(action, AskLoadSlot):
+            elif isinstance(action, RequestLoadGrant):
                 self._load_turns.ask(self._engine.id, action.lora_name, action.weight)
-            elif isinstance(action, ReturnLoadSlot):
+            elif isinstance(action, ReturnLoadGrant):
                 self._end_turn(used=False, loaded=False)
             else:
                 self._executor.submit(self._orders.carry_out, self.actor_ref, action)
--- a/bench/virtual_time.py
+++ b/bench/virtual_time.py
@@ -22,14 +22,14 @@
 from bamboovale.decisions.policy import Policy
 from bamboovale.decisions.work import (
     Action,
-    AskLoadSlot,
+    RequestLoadGrant,
     EngineHint,
     EngineView,
     Grant,
     Load,
     Permit,
     Refuse,
-    ReturnLoadSlot,
+    ReturnLoadGrant,
     Unload,
     WorkItem,
 )
@@ -425,9 +425,9 @@
                 self._start(engine, action.permit)
             elif isinstance(action, Refuse):
                 self._refused(engine, action)
-            elif isinstance(action, AskLoadSlot):
+            elif isinstance(action, RequestLoadGrant):
                 self._ask_turn(engine, action)
-            elif isinstance(action, ReturnLoadSlot):
+            elif isinstance(action, ReturnLoadGrant):
                 self._return_turn(engine)
             elif isinstance(action, Load):
                 self._load(engine, action.lora_name)
@@ -474,7 +474,7 @@
 
     # Loads.
 
-    def _ask_turn(self, engine: Engine, ask: AskLoadSlot) -> None:
+    def _ask_turn(self, engine: Engine, ask: RequestLoadGrant) -> None:
         def arrive() -> None:
             turns = self.scheduler.on_request(
                 engine.site.engine_id,
@@ -493,7 +493,7 @@
 
     def _use_turn(self, engine: Engine, turn: LoadGrant) -> None:
         engine.turns.append(turn)
-        actions = engine.dispatch.on_load_slot(turn.lora_name, self.loop.now)
+        actions = engine.dispatch.on_load_grant(turn.lora_name, self.loop.now)
         self._carry_out(engine, actions)
 
     def _return_turn(self, engine: Engine) -> None:
--- a/tests/test_decisions_dispatch.py
+++ b/tests/test_decisions_dispatch.py
@@ -10,13 +10,13 @@
 from bamboovale.decisions.policy import Policy
 from bamboovale.decisions.work import (
     Action,
-    AskLoadSlot,
+    RequestLoadGrant,
     EngineView,
     Grant,
     Load,
     Permit,
     Refuse,
-    ReturnLoadSlot,
+    ReturnLoadGrant,
     Unload,
     WorkItem,
 )
@@ -105,7 +105,7 @@
             self.granted(action.permit)
         elif isinstance(action, Refuse):
             self.settle(action.request_id)
-        elif isinstance(action, AskLoadSlot):
+        elif isinstance(action, RequestLoadGrant):
             self.asked.append(action.lora_name)
         elif isinstance(action, Load):
             assert self.may_order
@@ -187,7 +187,7 @@
     def grant_load_slot(self, data: st.DataObject) -> None:
         name = data.draw(st.sampled_from(sorted(self.asked)))
         self.asked.remove(name)
-        self.emit("on_load_slot", name)
+        self.emit("on_load_grant", name)
 
     @precondition(lambda self: self.loading)
     @rule(succeeds=st.sampled_from([True, True, False]))
@@ -262,7 +262,7 @@
             del self.running[permit_id]
             self.emit("on_release", permit_id)
         for name in list(dict.fromkeys(self.asked)):
-            self.emit("on_load_slot", name)
+            self.emit("on_load_grant", name)
         self.asked.clear()
         while self.unloading:
             self.end_unload(succeeds=True)
@@ -358,19 +358,19 @@
         dispatch.set_may_order(False, 0.0)
         assert grants(dispatch.on_request(make_item(1, "a"), 0.0))
         assert dispatch.on_request(make_item(2, "b"), 0.0) == []
-        assert dispatch.on_load_slot("b@1", 0.1) == [ReturnLoadSlot("b@1")]
+        assert dispatch.on_load_grant("b@1", 0.1) == [ReturnLoadGrant("b@1")]
         asked = dispatch.set_may_order(True, 0.2)
-        assert [type(action) for action in asked] == [AskLoadSlot]
+        assert [type(action) for action in asked] == [RequestLoadGrant]
 
     def test_new_holder_waits_before_first_eviction(self) -> None:
         dispatch = make_dispatch()
         dispatch.set_may_evict_from(5.0)
         dispatch.on_engine_view(make_view("a@1", "b@1"), 0.0)
         assert dispatch.on_request(make_item(1, "c"), 3.0) == []
-        assert dispatch.on_load_slot("c@1", 4.0) == [ReturnLoadSlot("c@1")]
+        assert dispatch.on_load_grant("c@1", 4.0) == [ReturnLoadGrant("c@1")]
         (ask,) = dispatch.on_tick(5.0)
-        assert isinstance(ask, AskLoadSlot)
-        (unload,) = dispatch.on_load_slot("c@1", 5.1)
+        assert isinstance(ask, RequestLoadGrant)
+        (unload,) = dispatch.on_load_grant("c@1", 5.1)
         assert isinstance(unload, Unload)
 
 
@@ -449,8 +449,8 @@
                 dispatch.on_release(permit.permit_id, now)
         waiting = make_item(999, "c", arrived_at=now, latest_start=now + 30.0)
         asked = dispatch.on_request(waiting, now)
-        assert [type(action) for action in asked] == [AskLoadSlot]
-        (unload,) = dispatch.on_load_slot("c@1", now)
+        assert [type(action) for action in asked] == [RequestLoadGrant]
+        (unload,) = dispatch.on_load_grant("c@1", now)
         assert isinstance(unload, Unload)
         (load,) = dispatch.on_unloaded(unload.lora_name, now)
         assert isinstance(load, Load)
@@ -467,7 +467,7 @@
         dispatch.on_request(make_item(1, "c", latest_start=60.0), 0.0)
         for second in range(60):
             dispatch.on_tick(float(second))
-            dispatch.on_load_slot("c@1", float(second))
+            dispatch.on_load_grant("c@1", float(second))
             dispatch.on_load_failed("c@1", float(second))
         return dispatch
 
