--- a/bench/decision_speed.py
+++ b/bench/decision_speed.py
@@ -12,7 +12,7 @@
 from bamboovale.decisions.admission import Admission, AdmissionConfig, Limits
 from bamboovale.decisions.admission import Arrival as Asking
 from bamboovale.decisions.dispatch import DispatchConfig, EngineDispatch
-from bamboovale.decisions.loads import LoadConfig, LoadScheduler
+from bamboovale.decisions.load_scheduler import LoadConfig, LoadScheduler
 from bamboovale.decisions.placement import (
     EnginePlacement,
     EngineSite,
--- a/bench/virtual_time.py
+++ b/bench/virtual_time.py
@@ -13,7 +13,7 @@
 from functools import partial
 
 from bamboovale.decisions.dispatch import DispatchConfig, EngineDispatch
-from bamboovale.decisions.loads import LoadConfig, LoadScheduler, LoadGrant
+from bamboovale.decisions.load_scheduler import LoadConfig, LoadScheduler, LoadGrant
 from bamboovale.decisions.placement import (
     EnginePlacement,
     EngineSite,
