--- a/bamboovale/decisions/dispatch.py
+++ b/bamboovale/decisions/dispatch.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from bamboovale.decisions.batching import QUEUE_BYTES, QUEUE_ITEMS, WaitQueue
-from bamboovale.decisions.loading import SlotPlanner
+from bamboovale.decisions.slot_planner import SlotPlanner
 from bamboovale.decisions.openings import SlotForecast
 from bamboovale.decisions.permits import PermitBook
 from bamboovale.decisions.policy import Policy
--- a/bamboovale/decisions/openings.py
+++ b/bamboovale/decisions/openings.py
@@ -8,7 +8,7 @@
 
 from bamboovale.decisions.batching import WaitQueue
 from bamboovale.decisions.demand import RecentDemand
-from bamboovale.decisions.loading import SlotPlanner
+from bamboovale.decisions.slot_planner import SlotPlanner
 from bamboovale.decisions.permits import PermitBook
 from bamboovale.models import WorkClass
 
