--- a/bamboovale/decisions/dispatch.py
+++ b/bamboovale/decisions/dispatch.py
@@ -18,7 +18,7 @@
 
 from bamboovale.decisions.batching import QUEUE_BYTES, QUEUE_ITEMS, WaitQueue
 from bamboovale.decisions.slot_planner import SlotPlanner
-from bamboovale.decisions.openings import SlotForecast
+from bamboovale.decisions.slot_forecast import SlotForecast
 from bamboovale.decisions.permits import PermitBook
 from bamboovale.decisions.policy import Policy
 from bamboovale.decisions.refusals import (
@@ -27,7 +27,7 @@
     refuse_leaving,
     refuse_unloadable,
 )
-from bamboovale.decisions.waits import WaitForecast
+from bamboovale.decisions.wait_forecast import WaitForecast
 from bamboovale.decisions.work import (
     Action,
     EngineHint,
