--- a/bamboovale/decisions/spread.py
+++ b/bamboovale/decisions/jitter.py
@@ -13,12 +13,12 @@
 """Half to one and a half times the wait: the mean stays true, the width is one wait."""
 
 
-def fraction(text: str) -> float:
+def hash_fraction(text: str) -> float:
     """Return a number in [0, 1) that depends on the text alone."""
     digest = hashlib.blake2b(text.encode(), digest_size=7).digest()
     return int.from_bytes(digest, "big") / float(1 << 56)
 
 
-def spread_seconds(seconds: float, key: str) -> float:
+def add_jitter(seconds: float, key: str) -> float:
     """Return ``seconds`` moved by up to half of itself, the same for the same key."""
-    return seconds * (SPREAD_LOW + SPREAD_WIDTH * fraction(key))
+    return seconds * (SPREAD_LOW + SPREAD_WIDTH * hash_fraction(key))
--- a/bamboovale/decisions/refusals.py
+++ b/bamboovale/decisions/refusals.py
@@ -4,7 +4,7 @@
 others, comes back at once with everybody else. All of these are "not run".
 """
 
-from bamboovale.decisions.spread import spread_seconds
+from bamboovale.decisions.jitter import add_jitter
 from bamboovale.decisions.work import Refuse, WorkItem
 from bamboovale.errors import ErrorCode, Refusal
 
@@ -38,5 +38,5 @@
 
 
 def _refuse(item: WorkItem, code: ErrorCode, message: str, wait_s: float) -> Refuse:
-    retry_s = spread_seconds(max(SHORTEST_RETRY_S, wait_s), item.request_id)
+    retry_s = add_jitter(max(SHORTEST_RETRY_S, wait_s), item.request_id)
     return Refuse(item.request_id, item.entry_vm, Refusal(code, message, True, retry_s))
