--- a/bamboovale/decisions/worth.py
+++ b/bamboovale/decisions/adapter_value.py
@@ -27,7 +27,7 @@
 """With all weight on stalls an overnight request counts a fifth of another."""
 
 
-class AdapterWorth:
+class AdapterValue:
     """Values adapters by waiting work and recent demand."""
 
     def __init__(self, *, policy: Policy, queue: WaitQueue) -> None:
--- a/bamboovale/decisions/dispatch.py
+++ b/bamboovale/decisions/dispatch.py
@@ -219,7 +219,7 @@
         now: float,
     ) -> list[Action]:
         """Warm a new version where the one it replaces was in demand."""
-        if self._planner.worth.demand.count(replaces, now) > 0.0:
+        if self._planner.value.demand.count(replaces, now) > 0.0:
             self._planner.warm(lora_name, source, replaces, now)
         return self._decide(now)
 
--- a/bamboovale/decisions/slot_planner.py
+++ b/bamboovale/decisions/slot_planner.py
@@ -36,7 +36,7 @@
     Unload,
     WorkItem,
 )
-from bamboovale.decisions.worth import AdapterWorth
+from bamboovale.decisions.adapter_value import AdapterValue
 
 LOADS_AT_ONCE = 2
 """As many as the weight store serves at full speed: more only share its bandwidth."""
@@ -80,7 +80,7 @@
         self._permits = permits
         self._rule = policy.make_slot_rule()
         self.slots = SlotTable()
-        self.worth = AdapterWorth(policy=policy, queue=queue)
+        self.value = AdapterValue(policy=policy, queue=queue)
         self.load_wait = MovingAverage(2.0 * load_seconds)
         self._load_time = MovingAverage(load_seconds, weight=LOAD_TIME_WEIGHT)
         self.may_order = True
@@ -108,20 +108,20 @@
         self._failing_since = None
         if self._policy.warms_after_restart:
             known = [
-                n for n in self.worth.demand.top(64, now) if n in self._source_by_name
+                n for n in self.value.demand.top(64, now) if n in self._source_by_name
             ]
             self._warm = dict.fromkeys(known[: max(self.slots.max_loras, 1)])
 
     def wanted(self, item: WorkItem, now: float) -> None:
         """Count a request."""
         name = item.target.lora_name
-        self.worth.demand.add(name, now)
+        self.value.demand.add(name, now)
         self._source_by_name[name] = item.source
 
     def warm(self, name: str, source: str, replaces: str, now: float) -> None:
         """Expect requests for a new version as many as for the one it replaces."""
         self._source_by_name[name] = source
-        self.worth.demand.move(replaces, name, now)
+        self.value.demand.move(replaces, name, now)
         self._warm[name] = None
 
     def used(self, name: str, now: float) -> None:
@@ -197,7 +197,7 @@
             "may_order": self.may_order,
             "may_evict_in_s": max(0.0, self.may_evict_from - now),
             "loaded": {
-                name: round(self.worth.of_slot(name, now), 3) for name in loaded
+                name: round(self.value.of_slot(name, now), 3) for name in loaded
             },
             "loading": sorted(self.slots.loading_since),
             "evicting": dict(self.slots.newcomer_by_victim),
@@ -251,18 +251,18 @@
         if now - self._failed_at > FAILURE_IS_NEWS_S:
             # No load was tried for long, so nothing would end the refusals.
             self._failing_since = None
-        self.worth.demand.prune(now)
+        self.value.demand.prune(now)
         for name, since in list(self.slots.loading_since.items()):
             if now - since > LOAD_GIVEN_UP_S:
                 self.load_failed(name, now, 0.0)
-        if len(self._source_by_name) > 2 * len(self.worth.demand) + 64:
+        if len(self._source_by_name) > 2 * len(self.value.demand) + 64:
             self._forget_sources()
 
     def _missing(self, now: float) -> dict[str, float]:
         """Return wanted adapters that are neither loaded nor coming, best first."""
         names = set(self._queue.lora_names) | set(self._warm)
         worth_by_name = {
-            name: self.worth.of_newcomer(name, now)
+            name: self.value.of_newcomer(name, now)
             for name in names
             if name not in self.slots.loaded
             and name not in self.slots.newcomer_by_victim
@@ -348,7 +348,7 @@
         return self._rule.victim(
             evictable,
             worth,
-            lambda name: self.worth.of_slot(name, now),
+            lambda name: self.value.of_slot(name, now),
             now - RESIDENCE_LOADS * self.load_seconds,
         )
 
@@ -378,7 +378,7 @@
 
     def _start_drain(self, worth: float, now: float) -> None:
         value_by_name = {
-            name: self.worth.of_slot(name, now)
+            name: self.value.of_slot(name, now)
             for name in self.slots.loaded
             if name not in self.draining and self._permits.is_pinned(name)
         }
@@ -389,7 +389,7 @@
             self.draining.add(least)
 
     def _forget_sources(self) -> None:
-        keep = set(self.worth.demand) | set(self._queue.lora_names) | set(self._warm)
+        keep = set(self.value.demand) | set(self._queue.lora_names) | set(self._warm)
         for name in list(self._source_by_name):
             if name not in keep:
                 del self._source_by_name[name]
