--- a/bamboovale/decisions/order_patience.py
+++ b/bamboovale/decisions/order_timeout.py
@@ -22,7 +22,7 @@
 """A link or VM that is slower than this is found by other means."""
 
 
-class OrderPatience:
+class OrderTimeout:
     """Learns how fast orders are answered; times in seconds."""
 
     def __init__(self) -> None:
--- a/bamboovale/gateway/engine_orders.py
+++ b/bamboovale/gateway/engine_orders.py
@@ -7,7 +7,7 @@
 
 import h11
 
-from bamboovale.decisions.order_patience import OrderPatience
+from bamboovale.decisions.order_timeout import OrderTimeout
 from bamboovale.gateway.model import (
     EndpointRecord,
     EngineOrder,
@@ -71,7 +71,7 @@
         self._codec = codec
         self._holder = holder
         self._on_call = on_call
-        self._patience = OrderPatience()
+        self._patience = OrderTimeout()
 
     async def report(self, record: EndpointRecord) -> EngineReport:
         """Return the engine's report; raises EngineCallFailed."""
--- a/tests/test_decisions_order_patience.py
+++ b/tests/test_decisions_order_timeout.py
@@ -1,6 +1,6 @@
 """How long answers to orders are awaited."""
 
-from bamboovale.decisions.order_patience import LONGEST_S, OrderPatience
+from bamboovale.decisions.order_timeout import LONGEST_S, OrderTimeout
 
 
 class TestOrderPatience:
@@ -13,14 +13,14 @@
         and a load order. Two tries in a row without an answer may cost no more than
         the load itself, a quarter of a second.
         """
-        patience = OrderPatience()
+        patience = OrderTimeout()
         for _ in range(50):
             patience.on_answer(0.006)
         assert patience.timeout_s(0) + patience.timeout_s(1) < 0.25
 
     def test_a_slow_engine_is_waited_for(self) -> None:
         """A VM that is slowed to a fifth would give every order twice."""
-        patience = OrderPatience()
+        patience = OrderTimeout()
         repeats = 0
         for _ in range(30):
             lost = 0
@@ -31,7 +31,7 @@
         assert repeats <= 6
 
     def test_it_never_waits_for_long(self) -> None:
-        patience = OrderPatience()
+        patience = OrderTimeout()
         for _ in range(50):
             patience.on_answer(1.0)
         assert patience.timeout_s(4) == LONGEST_S
