--- a/bamboovale/decisions/lateness_watch.py
+++ b/bamboovale/decisions/timer_lag.py
@@ -18,7 +18,7 @@
 of the machine is no crowd."""
 
 
-class LatenessWatch:
+class TimerLagMonitor:
     """Keeps the mean lateness of one VM's timers; times in seconds."""
 
     def __init__(self) -> None:
--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -5,7 +5,7 @@
 from concurrent.futures import Future
 from typing import Any, get_args
 
-from bamboovale.decisions.lateness_watch import LatenessWatch
+from bamboovale.decisions.timer_lag import TimerLagMonitor
 from bamboovale.fleet.exchange import Exchange
 from bamboovale.fleet.messages import Gossip, SuspectSeen
 from bamboovale.gateway.crashes import CrashGuard
@@ -89,7 +89,7 @@
         self._news = asyncio.Event()
         self._seen_version = -1
         self._fences_told_at = -FENCES_S
-        self._lateness = LatenessWatch()
+        self._lateness = TimerLagMonitor()
         self._live: set[str] = set()
         self.engine_news = EngineNews(state, engines, links)
         self.exchange = Exchange(
--- a/tests/test_decisions_named_vms.py
+++ b/tests/test_decisions_named_vms.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from bamboovale.decisions.lateness_watch import CALM_FOR_S, LatenessWatch
+from bamboovale.decisions.timer_lag import CALM_FOR_S, TimerLagMonitor
 from bamboovale.decisions.named_vms import (
     LEAST_NAMED,
     LEAST_NEAR,
@@ -77,7 +77,7 @@
 
     def test_one_late_timer_is_no_crowd(self) -> None:
         """A VM was frozen for seconds, and serves as before."""
-        watch = LatenessWatch()
+        watch = TimerLagMonitor()
         watch.on_timer(6.0, 10.0)
         assert watch._mean_s < 0.1
         for number in range(20):
@@ -85,13 +85,13 @@
         assert not watch.is_busy
 
     def test_timers_that_stay_late_are(self) -> None:
-        watch = LatenessWatch()
+        watch = TimerLagMonitor()
         for number in range(10):
             watch.on_timer(0.06, 0.3 * number)
         assert watch.is_busy
 
     def test_it_is_calm_again_after_a_while(self) -> None:
-        watch = LatenessWatch()
+        watch = TimerLagMonitor()
         for number in range(10):
             watch.on_timer(0.06, 0.3 * number)
         now = 3.0
