--- a/bamboovale/decisions/named_vms.py
+++ b/bamboovale/decisions/advertised_vms.py
@@ -35,7 +35,7 @@
     is_busy: bool = False
 
 
-def named_in_domain(candidates: Sequence[Candidate], fleet_size: int) -> list[str]:
+def advertised_in_domain(candidates: Sequence[Candidate], fleet_size: int) -> list[str]:
     """Return the VMs of one failure domain to name to callers.
 
     ``fleet_size`` counts the candidates of all failure domains.
--- a/bamboovale/gateway/fleet.py
+++ b/bamboovale/gateway/fleet.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from bamboovale.decisions.named_vms import Candidate, named_in_domain
+from bamboovale.decisions.advertised_vms import Candidate, advertised_in_domain
 from bamboovale.decisions.rendezvous import first_members
 from bamboovale.fleet.changes import ChangeLog
 from bamboovale.fleet.membership import Change, Membership
@@ -245,4 +245,4 @@
 def _named(members: list[Member], fleet_size: int) -> list[Member]:
     candidates = [Candidate(m.vm_id, m.cores, m.busy) for m in members]
     member_by_id = {member.vm_id: member for member in members}
-    return [member_by_id[v] for v in named_in_domain(candidates, fleet_size)]
+    return [member_by_id[v] for v in advertised_in_domain(candidates, fleet_size)]
--- a/tests/test_decisions_named_vms.py
+++ b/tests/test_decisions_advertised_vms.py
@@ -3,12 +3,12 @@
 from collections import Counter
 
 from bamboovale.decisions.timer_lag import CALM_FOR_S, TimerLagMonitor
-from bamboovale.decisions.named_vms import (
+from bamboovale.decisions.advertised_vms import (
     LEAST_NAMED,
     LEAST_NEAR,
     NAMED_SHARE,
     Candidate,
-    named_in_domain,
+    advertised_in_domain,
 )
 
 DOMAINS = 5
@@ -17,7 +17,7 @@
 def domain(count: int, *, busy: int = 0) -> list[Candidate]:
     """Return the VMs of one failure domain; the first named ones are busy."""
     candidates = [Candidate(f"vm{number}", 0.5) for number in range(count)]
-    named = named_in_domain(candidates, DOMAINS * count)
+    named = advertised_in_domain(candidates, DOMAINS * count)
     return [Candidate(c.vm_id, c.cores, c.vm_id in named[:busy]) for c in candidates]
 
 
@@ -26,23 +26,23 @@
 
     def test_a_small_fleet_is_named_whole(self) -> None:
         candidates = [Candidate(f"vm{number}", 1.0) for number in range(3)]
-        assert len(named_in_domain(candidates, LEAST_NAMED)) == 3
+        assert len(advertised_in_domain(candidates, LEAST_NAMED)) == 3
 
     def test_a_share_of_a_large_fleet_is_named(self) -> None:
-        named = named_in_domain(domain(40), 200)
+        named = advertised_in_domain(domain(40), 200)
         assert len(named) == NAMED_SHARE * 40
 
     def test_the_loss_of_vms_moves_few_callers(self) -> None:
         """A named VM dies: one other takes its place, the rest stay named."""
         candidates = domain(40)
-        before = named_in_domain(candidates, 200)
+        before = advertised_in_domain(candidates, 200)
         left = [c for c in candidates if c.vm_id != before[0]]
-        after = named_in_domain(left, 199)
+        after = advertised_in_domain(left, 199)
         assert set(before[1:]) <= set(after)
 
     def test_each_failure_domain_has_some(self) -> None:
-        assert len(named_in_domain(domain(40)[:6], 200)) == LEAST_NEAR
-        assert len(named_in_domain(domain(40)[:2], 200)) == 2
+        assert len(advertised_in_domain(domain(40)[:6], 200)) == LEAST_NEAR
+        assert len(advertised_in_domain(domain(40)[:2], 200)) == 2
 
     def test_larger_vms_are_named_more_often(self) -> None:
         counts: Counter[float] = Counter()
@@ -52,7 +52,7 @@
                 for number in range(40)
             ]
             cores = {c.vm_id: c.cores for c in candidates}
-            counts.update(cores[v] for v in named_in_domain(candidates, 200))
+            counts.update(cores[v] for v in advertised_in_domain(candidates, 200))
         # One VM in four is large.
         assert 3 * counts[2.0] > 2 * counts[0.5]
 
@@ -61,15 +61,15 @@
 
         Each request waits at every step there while most of the fleet stands idle.
         """
-        calm = named_in_domain(domain(40), 200)
-        one_busy = named_in_domain(domain(40, busy=1), 200)
-        crowded = named_in_domain(domain(40, busy=4), 200)
+        calm = advertised_in_domain(domain(40), 200)
+        one_busy = advertised_in_domain(domain(40, busy=1), 200)
+        crowded = advertised_in_domain(domain(40, busy=4), 200)
         assert one_busy == calm
         assert len(crowded) == 2 * len(calm)
 
     def test_all_are_named_where_all_are_busy(self) -> None:
         candidates = [Candidate(f"vm{number}", 0.5, True) for number in range(40)]
-        assert len(named_in_domain(candidates, 200)) == 40
+        assert len(advertised_in_domain(candidates, 200)) == 40
 
 
 class TestLatenessWatch:
