--- a/bamboovale/decisions/dispatch.py
+++ b/bamboovale/decisions/dispatch.py
@@ -117,14 +117,14 @@
         self._view = view
         self._waits.places = view.max_num_seqs
         self._permits.drop_other_boots(view.boot_id)
-        self._planner.see(view, read_at, now)
+        self._planner.apply_view(view, read_at, now)
         self._permits.linger_unseen(view, read_at - self._send_margin_s)
         self._permits.see(view, read_at)
         return self._decide(now)
 
     def on_loaded(self, lora_name: str, now: float) -> list[Action]:
         """Serve what waited for a load that succeeded."""
-        self._planner.loaded(lora_name, now)
+        self._planner.on_loaded(lora_name, now)
         return self._decide(now)
 
     def on_load_failed(
@@ -134,12 +134,12 @@
         retry_after_s: float = 0.0,
     ) -> list[Action]:
         """Back off after a load that failed."""
-        self._planner.load_failed(lora_name, now, retry_after_s)
+        self._planner.on_load_failed(lora_name, now, retry_after_s)
         return self._decide(now)
 
     def on_unloaded(self, lora_name: str, now: float) -> list[Action]:
         """Load into the slot that an eviction made free."""
-        return self._planner.unloaded(lora_name, now) + self._decide(now)
+        return self._planner.on_unloaded(lora_name, now) + self._decide(now)
 
     def on_unload_failed(self, lora_name: str, now: float) -> list[Action]:
         """Leave the slot alone until the engine has been looked at again."""
@@ -220,7 +220,7 @@
     ) -> list[Action]:
         """Warm a new version where the one it replaces was in demand."""
         if self._planner.value.demand.count(replaces, now) > 0.0:
-            self._planner.warm(lora_name, source, replaces, now)
+            self._planner.on_new_version(lora_name, source, replaces, now)
         return self._decide(now)
 
     def set_may_order(self, allowed: bool, now: float) -> list[Action]:
@@ -258,7 +258,7 @@
 
     def on_tick(self, now: float) -> list[Action]:
         """Let time pass: back-offs end, hopeless waits are refused."""
-        self._planner.tick(now)
+        self._planner.on_tick(now)
         refusals: list[Action] = []
         for item in list(self._queue):
             if (
@@ -352,14 +352,14 @@
             priority=PRIORITY_BY_CLASS[item.work_class],
         )
         self._permits.add(permit, now)
-        self._planner.used(permit.lora_name, now)
+        self._planner.on_granted(permit.lora_name, now)
         if item.exclusive:
             self._exclusive_permit_id = permit.permit_id
         return Grant(permit)
 
     def _engine_restarted(self, now: float) -> None:
         self._permits.clear()
-        self._planner.restarted(now)
+        self._planner.on_restart(now)
 
     # Predicted waits and refusals.
 
--- a/bamboovale/decisions/slot_planner.py
+++ b/bamboovale/decisions/slot_planner.py
@@ -95,12 +95,12 @@
 
     # What the holder learns.
 
-    def see(self, view: EngineView, read_at: float, now: float) -> None:
+    def apply_view(self, view: EngineView, read_at: float, now: float) -> None:
         """Take over the engine's own list of loaded adapters."""
         self.slots.max_loras = view.max_loras
         self.slots.see(view.loaded, read_at, now)
 
-    def restarted(self, now: float) -> None:
+    def on_restart(self, now: float) -> None:
         """Start with empty slots; what was in demand is warmed again."""
         self.slots.clear()
         self.draining.clear()
@@ -118,19 +118,19 @@
         self.value.demand.add(name, now)
         self._source_by_name[name] = item.source
 
-    def warm(self, name: str, source: str, replaces: str, now: float) -> None:
+    def on_new_version(self, name: str, source: str, replaces: str, now: float) -> None:
         """Expect requests for a new version as many as for the one it replaces."""
         self._source_by_name[name] = source
         self.value.demand.move(replaces, name, now)
         self._warm[name] = None
 
-    def used(self, name: str, now: float) -> None:
+    def on_granted(self, name: str, now: float) -> None:
         """Note a grant."""
         slot = self.slots.loaded.get(name)
         if slot is not None:
             slot.used_at = now
 
-    def loaded(self, name: str, now: float) -> None:
+    def on_loaded(self, name: str, now: float) -> None:
         """Note a finished load."""
         seconds = self.slots.load_done(name, now)
         if seconds is not None:
@@ -141,7 +141,7 @@
                 self.load_wait.add(now - asked_at)
         self._warm.pop(name, None)
 
-    def load_failed(self, name: str, now: float, wait_s: float) -> None:
+    def on_load_failed(self, name: str, now: float, wait_s: float) -> None:
         """Note a failed load; it is tried again also when nobody waits any more.
 
         Else a store that refused everybody would never be found mended.
@@ -153,7 +153,7 @@
         self._asked_at_by_name.pop(name, None)
         self.slots.load_failed(name, now, wait_s)
 
-    def unloaded(self, victim: str, now: float) -> list[Action]:
+    def on_unloaded(self, victim: str, now: float) -> list[Action]:
         """Use the slot that became free."""
         newcomer = self.slots.unload_done(victim, now)
         if newcomer is None:
@@ -245,7 +245,7 @@
         self.slots.order_unload(victim, name)
         return [Unload(victim)]
 
-    def tick(self, now: float) -> None:
+    def on_tick(self, now: float) -> None:
         """Forget what is old and give up orders whose outcome never came."""
         self.slots.forget_back_offs(now)
         if now - self._failed_at > FAILURE_IS_NEWS_S:
@@ -254,7 +254,7 @@
         self.value.demand.prune(now)
         for name, since in list(self.slots.loading_since.items()):
             if now - since > LOAD_GIVEN_UP_S:
-                self.load_failed(name, now, 0.0)
+                self.on_load_failed(name, now, 0.0)
         if len(self._source_by_name) > 2 * len(self.value.demand) + 64:
             self._forget_sources()
 
