--- a/bamboovale/decisions/adapter_slots.py
+++ b/bamboovale/decisions/adapter_slots.py
@@ -348,7 +348,7 @@
 
     # Reports against belief.
 
-    def see(self, facts: ReportedState, now: float) -> None:
+    def on_report(self, facts: ReportedState, now: float) -> None:
         """Take a report; what it may not show yet is kept as it is believed."""
         for slot in self._slot_by_key.values():
             slot.forget_ended(facts)
--- a/bamboovale/decisions/dispatch.py
+++ b/bamboovale/decisions/dispatch.py
@@ -119,7 +119,7 @@
         self._permits.drop_other_boots(view.boot_id)
         self._planner.apply_view(view, read_at, now)
         self._permits.linger_unseen(view, read_at - self._send_margin_s)
-        self._permits.see(view, read_at)
+        self._permits.apply_view(view, read_at)
         return self._decide(now)
 
     def on_loaded(self, lora_name: str, now: float) -> list[Action]:
--- a/bamboovale/decisions/engine_places.py
+++ b/bamboovale/decisions/engine_places.py
@@ -85,9 +85,9 @@
     def on_report(self, facts: ReportedState, now: float) -> list[Action]:
         """Take a report."""
         self._known = True
-        self._orders.see_models(facts.version_by_model)
+        self._orders.update_models(facts.version_by_model)
         self._reported_active = facts.active
-        self.slots.see(facts, now)
+        self.slots.on_report(facts, now)
         return self.decide(now)
 
     def on_order_done(
--- a/bamboovale/decisions/load_orders.py
+++ b/bamboovale/decisions/load_orders.py
@@ -34,7 +34,7 @@
         self._slots = slots
         self._model_loading: str | None = None
 
-    def see_models(self, version_by_model: Mapping[str, int]) -> None:
+    def update_models(self, version_by_model: Mapping[str, int]) -> None:
         """Take the base models that a report lists."""
         self.version_by_model = dict(version_by_model)
         if self._model_loading in self.version_by_model:
--- a/bamboovale/decisions/permits.py
+++ b/bamboovale/decisions/permits.py
@@ -112,7 +112,7 @@
             if permit.boot_id != boot_id:
                 self.release(permit.permit_id, 0.0)
 
-    def see(self, view: EngineView, read_at: float) -> None:
+    def apply_view(self, view: EngineView, read_at: float) -> None:
         """Compare with what the engine runs."""
         self._end_lingering(view, read_at)
         known = self._known_request_ids()
--- a/bamboovale/decisions/slot_planner.py
+++ b/bamboovale/decisions/slot_planner.py
@@ -98,7 +98,7 @@
     def apply_view(self, view: EngineView, read_at: float, now: float) -> None:
         """Take over the engine's own list of loaded adapters."""
         self.slots.max_loras = view.max_loras
-        self.slots.see(view.loaded, read_at, now)
+        self.slots.update_loaded(view.loaded, read_at, now)
 
     def on_restart(self, now: float) -> None:
         """Start with empty slots; what was in demand is warmed again."""
--- a/bamboovale/decisions/slots.py
+++ b/bamboovale/decisions/slots.py
@@ -125,7 +125,7 @@
         """Say whether a load is ordered, or an eviction that makes room for it."""
         return name in self.loading_since or name in self.newcomer_by_victim.values()
 
-    def see(self, loaded: Iterable[str], read_at: float, now: float) -> None:
+    def update_loaded(self, loaded: Iterable[str], read_at: float, now: float) -> None:
         """Take over what the engine lists, but for what was learned since."""
         listed = set(loaded)
         for name, slot in list(self.loaded.items()):
