--- a/bamboovale/decisions/dispatch.py
+++ b/bamboovale/decisions/dispatch.py
@@ -74,7 +74,7 @@
     def __init__(self, *, config: DispatchConfig, policy: Policy) -> None:
         self._config = config
         self._policy = policy
-        bounded = policy.refuses_hopeless
+        bounded = policy.refuses_late
         self._queue = WaitQueue(
             order=policy.make_queue_order(),
             items_limit=config.queue_limit if bounded else UNBOUNDED,
@@ -262,7 +262,7 @@
         refusals: list[Action] = []
         for item in list(self._queue):
             if (
-                self._policy.refuses_hopeless
+                self._policy.refuses_late
                 and now + self._waits.shortest(item) > item.latest_start
             ):
                 self._queue.remove(item.request_id)
@@ -364,7 +364,7 @@
     # Predicted waits and refusals.
 
     def _refuse_hopeless(self, item: WorkItem, now: float) -> list[Refuse]:
-        if not self._policy.refuses_hopeless:
+        if not self._policy.refuses_late:
             return []
         wait_s = self._waits.of(item, now)
         if now + wait_s <= item.latest_start:
@@ -384,7 +384,7 @@
     def _cannot_load(self, item: WorkItem, now: float) -> bool:
         """Tell whether a load is needed that nobody knows when to allow again."""
         stopped_at = self._orders_stopped_at
-        if stopped_at is None or not self._policy.refuses_hopeless:
+        if stopped_at is None or not self._policy.refuses_late:
             return False
         stopped_for_s = now - stopped_at
         loaded = item.target.lora_name in self._planner.slots.loaded
--- a/bamboovale/decisions/policy.py
+++ b/bamboovale/decisions/policy.py
@@ -23,7 +23,7 @@
     stall_weight: float
     make_queue_order: Callable[[], QueueOrder]
     make_slot_rule: Callable[[], SlotRule]
-    refuses_hopeless: bool
+    refuses_late: bool
     places_by_adapter: bool
     loads_by_weight: bool
     warms_after_restart: bool
@@ -36,7 +36,7 @@
             stall_weight=stall_weight,
             make_queue_order=lambda: FairOrder(stall_weight),
             make_slot_rule=LeastValued,
-            refuses_hopeless=True,
+            refuses_late=True,
             places_by_adapter=True,
             loads_by_weight=True,
             warms_after_restart=True,
@@ -50,7 +50,7 @@
             stall_weight=DEFAULT_STALL_WEIGHT,
             make_queue_order=ArrivalOrder,
             make_slot_rule=LeastRecentlyUsed,
-            refuses_hopeless=False,
+            refuses_late=False,
             places_by_adapter=False,
             loads_by_weight=False,
             warms_after_restart=False,
