--- a/bamboovale/decisions/assignment.py
+++ b/bamboovale/decisions/assignment.py
@@ -39,9 +39,9 @@
 
     def __init__(self) -> None:
         self._inputs: tuple[Mapping[str, str], Mapping[str, str]] = ({}, {})
-        self._turns_by_engine: dict[str, list[str]] = {}
+        self._vms_by_engine: dict[str, list[str]] = {}
 
-    def turns(
+    def vms_in_order(
         self,
         engine_id: str,
         domain_by_engine: Mapping[str, str],
@@ -50,8 +50,8 @@
         """Return the VMs in the order in which they may take the engine's lease."""
         if (domain_by_engine, domain_by_vm) != self._inputs:
             self._inputs = (dict(domain_by_engine), dict(domain_by_vm))
-            self._turns_by_engine = dict(_assign(domain_by_engine, domain_by_vm))
-        return self._turns_by_engine[engine_id]
+            self._vms_by_engine = dict(_assign(domain_by_engine, domain_by_vm))
+        return self._vms_by_engine[engine_id]
 
 
 def _assign(
--- a/bamboovale/leases/keeper.py
+++ b/bamboovale/leases/keeper.py
@@ -333,7 +333,7 @@
         domain_by_vm = {
             vm.id: vm.failure_domain for vm in membership.usable_entry_vms()
         }
-        return self._assignment.turns(engine, domain_by_engine, domain_by_vm)
+        return self._assignment.vms_in_order(engine, domain_by_engine, domain_by_vm)
 
     def _rank(self, engine: str, lapsed_holder: str | None) -> int | None:
         """Return this VM's turn among the takers, None if it is not usable."""
--- a/tests/test_decisions_assignment.py
+++ b/tests/test_decisions_assignment.py
@@ -17,7 +17,7 @@
 
 def first_by_engine(engines: dict[str, str], vms: dict[str, str]) -> dict[str, str]:
     assignment = LeaseAssignment()
-    return {engine: assignment.turns(engine, engines, vms)[0] for engine in engines}
+    return {engine: assignment.vms_in_order(engine, engines, vms)[0] for engine in engines}
 
 
 class TestLeaseAssignment:
@@ -40,7 +40,7 @@
         engines, vms = spread("g", e), spread("e", v)
         assignment = LeaseAssignment()
         for engine in engines:
-            assert set(assignment.turns(engine, engines, vms)) == set(vms)
+            assert set(assignment.vms_in_order(engine, engines, vms)) == set(vms)
 
     def test_a_lost_vm_moves_few_leases_of_others(self) -> None:
         """Each move costs an engine a moment without loads."""
@@ -61,4 +61,4 @@
         assert all(vms[vm_id] == engines[engine] for engine, vm_id in first.items())
 
     def test_without_a_vm_there_is_nobody(self) -> None:
-        assert LeaseAssignment().turns("g1", {"g1": ""}, {}) == []
+        assert LeaseAssignment().vms_in_order("g1", {"g1": ""}, {}) == []
