--- a/bamboovale/decisions/admission.py
+++ b/bamboovale/decisions/admission.py
@@ -100,7 +100,7 @@
 
     def __init__(self, config: AdmissionConfig) -> None:
         self._config = config
-        self._live_entries = 1
+        self._live_vms = 1
         self._open_by_id: dict[str, Arrival] = {}
         self._open_by_customer: Counter[str] = Counter()
         self._open_by_entry: Counter[str] = Counter()
@@ -108,9 +108,9 @@
         self._bucket_by_entry: dict[str, Bucket] = {}
         self._usage_by_peer: dict[str, tuple[float, dict[str, float]]] = {}
 
-    def set_live_entries(self, count: int) -> None:
+    def set_live_vms(self, count: int) -> None:
         """Take the number of entry VMs that share the limits."""
-        self._live_entries = max(1, count)
+        self._live_vms = max(1, count)
 
     def on_peer_usage(
         self,
@@ -215,13 +215,13 @@
 
     def _share(self, entry: str, now: float) -> float:
         """Return this entry VM's part of a limit, by where its callers are."""
-        equal = 1.0 / self._live_entries
+        equal = 1.0 / self._live_vms
         heard = [
             rates
             for at, rates in self._usage_by_peer.values()
             if now - at <= USAGE_VALID_S
         ]
-        if len(heard) < self._live_entries - 1:
+        if len(heard) < self._live_vms - 1:
             return equal
         others = sum(rates.get(entry, 0.0) for rates in heard)
         own = self._bucket(entry, now).see(0, now) + USAGE_LEAST
--- a/bamboovale/decisions/load_scheduler.py
+++ b/bamboovale/decisions/load_scheduler.py
@@ -61,9 +61,9 @@
         return cls(config)
 
     @classmethod
-    def static_share(cls, config: LoadConfig, live_entries: int) -> "LoadScheduler":
+    def static_share(cls, config: LoadConfig, live_vms: int) -> "LoadScheduler":
         """Return a scheduler for one entry VM's share, used when none is reachable."""
-        share = config.rate_per_s / max(1, live_entries)
+        share = config.rate_per_s / max(1, live_vms)
         return cls(replace(config, rate_per_s=share, at_once=1))
 
     def __init__(self, config: LoadConfig) -> None:
--- a/bamboovale/decisions/placement.py
+++ b/bamboovale/decisions/placement.py
@@ -75,7 +75,7 @@
     def __init__(self, *, config: PlacementConfig, policy: Policy) -> None:
         self._config = config
         self._policy = policy
-        self._live_entries = 1
+        self._live_vms = 1
         self._site_by_id: dict[str, EngineSite] = {}
         self._order_by_base_model: dict[str, RendezvousOrder] = {}
         self._known_by_id: dict[str, Known] = {}
@@ -97,9 +97,9 @@
         for engine_id in set(self._known_by_id) - set(self._site_by_id):
             self._forget(engine_id)
 
-    def set_live_entries(self, count: int) -> None:
+    def set_live_vms(self, count: int) -> None:
         """Take the number of entry VMs that send as this one does."""
-        self._live_entries = max(1, count)
+        self._live_vms = max(1, count)
 
     def on_hint(self, hint: EngineHint, now: float) -> None:
         """Take what a lease holder tells, unless a later holder told already."""
@@ -163,7 +163,7 @@
 
     def copies(self, adapter: str, places: int, now: float) -> int:
         """Return how many engines an adapter's measured demand needs."""
-        rate = self._demand.rate(adapter, now) * self._live_entries
+        rate = self._demand.rate(adapter, now) * self._live_vms
         needed = rate * self._config.service_seconds / max(1.0, places * FILL_SHARE)
         copies = self._copies_by_name.get(adapter, 1)
         if needed > copies:
@@ -204,7 +204,7 @@
 
     def _wait(self, known: Known) -> float:
         hint = known.hint
-        sent = known.sent_since * self._live_entries
+        sent = known.sent_since * self._live_vms
         over = max(0, sent - hint.free_places)
         return hint.predicted_wait_s + over * self._place_seconds(hint)
 
@@ -218,7 +218,7 @@
             return 0.0
         if name in hint.loading:
             return hint.load_seconds / 2
-        over = 1 + known.cold_since * self._live_entries - hint.open_slots
+        over = 1 + known.cold_since * self._live_vms - hint.open_slots
         return hint.load_seconds + max(0, over) * hint.slot_wait_s
 
     def _least_loaded(
@@ -237,7 +237,7 @@
         if known is None:
             return float("inf")
         hint = known.hint
-        sent = known.sent_since * self._live_entries
+        sent = known.sent_since * self._live_vms
         busy = hint.max_num_seqs - hint.free_places
         return (busy + hint.queued + sent) / max(1, hint.max_num_seqs)
 
--- a/bamboovale/entry/desk.py
+++ b/bamboovale/entry/desk.py
@@ -70,8 +70,8 @@
         entries = max(1, len(membership.usable_entry_vms()))
         with self._lock:
             self._placement.set_engines(site for site in sites if site is not None)
-            self._placement.set_live_entries(entries)
-            self._admission.set_live_entries(entries)
+            self._placement.set_live_vms(entries)
+            self._admission.set_live_vms(entries)
             for pool in {vm.pool for vm in live if vm.kind is VMKind.SERVICE}:
                 self._router_by_pool[pool]
             for pool, router in self._router_by_pool.items():
--- a/bench/decision_speed.py
+++ b/bench/decision_speed.py
@@ -128,7 +128,7 @@
 def admission(endpoints: int, adapters: int) -> Callable[[int], None]:
     """Take in requests of entries with limits."""
     entry = Admission.from_config(AdmissionConfig())
-    entry.set_live_entries(endpoints)
+    entry.set_live_vms(endpoints)
     limits = Limits(requests_per_s=1000.0, concurrency=100)
     asked = names(adapters)
     rng = random.Random(1)
--- a/bench/virtual_time.py
+++ b/bench/virtual_time.py
@@ -239,7 +239,7 @@
             PlacementConfig(failure_domain=domains[number % len(domains)]),
             self.policy,
         )
-        placement.set_live_entries(self.profile.entries)
+        placement.set_live_vms(self.profile.entries)
         placement.set_engines(engine.site for engine in self.engine_by_id.values())
         return placement
 
--- a/tests/test_decisions_admission.py
+++ b/tests/test_decisions_admission.py
@@ -105,20 +105,20 @@
 
     def test_equal_part_without_news(self) -> None:
         admission = Admission.from_config(AdmissionConfig())
-        admission.set_live_entries(3)
+        admission.set_live_vms(3)
         admitted = count_admitted(admission, seconds=20, rate_per_s=100)
         assert 190 <= admitted <= 225
 
     def test_whole_limit_where_all_callers_are(self) -> None:
         admission = Admission.from_config(AdmissionConfig())
-        admission.set_live_entries(2)
+        admission.set_live_vms(2)
         admission.on_peer_usage("entry-2", {}, 0.0)
         admitted = count_admitted(admission, seconds=9, rate_per_s=100)
         assert 260 <= admitted <= 335
 
     def test_concurrency(self) -> None:
         admission = Admission.from_config(AdmissionConfig())
-        admission.set_live_entries(6)
+        admission.set_live_vms(6)
         limits = Limits(concurrency=12)
         rng = random.Random(1)
         answers = [
--- a/tests/test_decisions_load_scheduler.py
+++ b/tests/test_decisions_load_scheduler.py
@@ -102,7 +102,7 @@
         assert scheduler.on_tick(0.5) == []
 
     def test_static_share(self) -> None:
-        share = LoadScheduler.static_share(CONFIG, live_entries=10)
+        share = LoadScheduler.static_share(CONFIG, live_vms=10)
         given = []
         for number in range(100):
             now = number / 10
--- a/tests/test_decisions_placement.py
+++ b/tests/test_decisions_placement.py
@@ -112,7 +112,7 @@
 
     def test_stale_hints_do_not_herd(self) -> None:
         placement = make_placement()
-        placement.set_live_entries(6)
+        placement.set_live_vms(6)
         for name in ENGINES:
             placement.on_hint(make_hint(name, loaded=("a@1",)), 0.1)
         chosen = []
