--- a/bamboovale/decisions/crash_counts.py
+++ b/bamboovale/decisions/crash_counts.py
@@ -36,7 +36,7 @@
         self._counted_by_fingerprint: OrderedDict[str, _Counted] = OrderedDict()
         self._gone_at: OrderedDict[str, float] = OrderedDict()
 
-    def on_cut(self, fingerprint: str, endpoint_id: str, now: float) -> None:
+    def on_run_lost(self, fingerprint: str, endpoint_id: str, now: float) -> None:
         """Note that a run broke off at an endpoint."""
         counted = self._counted_by_fingerprint.setdefault(fingerprint, _Counted())
         counted.last_at = now
@@ -62,7 +62,7 @@
         """Clear a request that ran to its end."""
         self._counted_by_fingerprint.pop(fingerprint, None)
 
-    def refuses(self, fingerprint: str, now: float) -> bool:
+    def is_refused(self, fingerprint: str, now: float) -> bool:
         """Tell whether the request has crashed too many endpoints."""
         counted = self._counted_by_fingerprint.get(fingerprint)
         if counted is None or now - counted.last_at > KEPT_FOR_S:
--- a/bamboovale/gateway/crashes.py
+++ b/bamboovale/gateway/crashes.py
@@ -26,11 +26,11 @@
 
     def refuses(self, fingerprint: str) -> bool:
         """Tell whether this request has crashed too many endpoints."""
-        return self._counts.refuses(fingerprint, self._now())
+        return self._counts.is_refused(fingerprint, self._now())
 
     def on_notice(self, notice: SuspectSeen) -> None:
         """Take what another VM has seen."""
-        self._counts.on_cut(notice.fingerprint, notice.endpoint_id, self._now())
+        self._counts.on_run_lost(notice.fingerprint, notice.endpoint_id, self._now())
 
     def on_endpoint_gone(self, endpoint_id: str) -> None:
         """Take the end of an endpoint that did not say that it leaves."""
@@ -53,7 +53,7 @@
             if "failed" not in attempt or not _broke_off(attempt["failed"]):
                 continue
             endpoint_id = attempt["endpoint"]
-            self._counts.on_cut(fingerprint, endpoint_id, self._now())
+            self._counts.on_run_lost(fingerprint, endpoint_id, self._now())
             self._tell(SuspectSeen(fingerprint, endpoint_id))
             self._journal.write(
                 "run_broke_off",
