--- a/bamboovale/decisions/engine_busyness.py
+++ b/bamboovale/decisions/engine_busyness.py
@@ -72,7 +72,7 @@
             waiting_s = sum(unstarted_ages_s) / len(unstarted_ages_s)
         return max(0.0, self.late_s(now), waiting_s)
 
-    def turn_s(self, ahead: int, now: float) -> float:
+    def slot_wait_s(self, ahead: int, now: float) -> float:
         """Return when the request behind ``ahead`` others should get a slot."""
         while self._loads_at and now - self._loads_at[0] > RATE_WINDOW_S:
             self._loads_at.popleft()
--- a/bamboovale/decisions/engine_places.py
+++ b/bamboovale/decisions/engine_places.py
@@ -426,7 +426,7 @@
                 waits_s.append(0.0)
                 continue
             ahead.add(ask.key)
-            waits_s.append(self._busyness.turn_s(len(ahead), now))
+            waits_s.append(self._busyness.slot_wait_s(len(ahead), now))
         return waits_s
 
     def _note_stop(self, now: float) -> None:
--- a/tests/test_decisions_engine_busyness.py
+++ b/tests/test_decisions_engine_busyness.py
@@ -21,13 +21,13 @@
         """
         busyness = EngineBusyness()
         self.hand_on(busyness, 2.0, until=4.0)
-        assert 6.0 < busyness.turn_s(20, 4.0) < 9.0
+        assert 6.0 < busyness.slot_wait_s(20, 4.0) < 9.0
 
     def test_a_quiet_engine_refuses_nobody(self) -> None:
         busyness = EngineBusyness()
         self.hand_on(busyness, 2.0, until=4.0)
         busyness.on_full(False, 4.0)
-        assert busyness.turn_s(12, 4.5) <= 1.0
+        assert busyness.slot_wait_s(12, 4.5) <= 1.0
 
 
 class TestEngineBusyness:
@@ -54,5 +54,5 @@
         busyness = EngineBusyness()
         for number in range(20):
             busyness.on_load(number * 0.1)
-        assert busyness.turn_s(4, 2.0) == 0.0
-        assert 2.0 < busyness.turn_s(34, 2.0) < 4.0
+        assert busyness.slot_wait_s(4, 2.0) == 0.0
+        assert 2.0 < busyness.slot_wait_s(34, 2.0) < 4.0
