--- a/bamboovale/decisions/adapter_slots.py
+++ b/bamboovale/decisions/adapter_slots.py
@@ -61,7 +61,7 @@
 class Slot:
     """One adapter at the engine.
 
-    ``uses_since`` is how many other adapters were loaded there since this one was, when
+    ``loads_since`` is how many other adapters were loaded there since this one was, when
     its load began; None if it never was. ``warm`` tells that it should come from the
     engine's own memory. ``confirmed`` is False while no report has shown it loaded.
     ``replaces`` is the version that the engine holds until a load has replaced it.
@@ -74,7 +74,7 @@
     demand: float = 0.0
     used_at: float = 0.0
     ready_at: float | None = None
-    uses_since: int | None = None
+    loads_since: int | None = None
     warm: bool = False
     confirmed: bool = True
     replaces: int | None = None
@@ -121,7 +121,7 @@
     def __init__(self, slots: int) -> None:
         self.slots = slots
         self.load_s = MovingAverage(LOAD_GUESS_S)
-        self.held_kept = HELD_GUESS
+        self.cache_size = HELD_GUESS
         self._slot_by_key: dict[AdapterKey, Slot] = {}
         self._newest_by_key: dict[AdapterKey, Newest] = {}
         self._unloaded_at: dict[AdapterKey, float] = {}
@@ -257,8 +257,8 @@
         if slot is None or slot.state is not SlotState.LOADING:
             return
         slot.changed_at = now
-        slot.uses_since = self._uses_since(key)
-        slot.warm = slot.uses_since is not None and slot.uses_since < self.held_kept
+        slot.loads_since = self._uses_since(key)
+        slot.warm = slot.loads_since is not None and slot.loads_since < self.cache_size
         # A replacement waits for runs: only a report tells when it is complete.
         if not slot.active:
             slot.ready_at = now + self._expected_load_s(warm=slot.warm)
@@ -322,8 +322,8 @@
         An adapter that should have been in the engine's memory was not: the engine
         keeps fewer. Taken for kept all the same, every load of it would cost a repeat.
         """
-        if slot.warm and slot.uses_since is not None:
-            self.held_kept = (self.held_kept + 3 * slot.uses_since) // 4
+        if slot.warm and slot.loads_since is not None:
+            self.cache_size = (self.cache_size + 3 * slot.loads_since) // 4
         else:
             self.load_s.add(self.load_s.value + EARLY_PENALTY_S)
 
@@ -382,8 +382,8 @@
         took_s = now - slot.changed_at
         if took_s > QUICK_LOAD_S:
             self.load_s.add(took_s)
-        elif slot.uses_since is not None:
-            self.held_kept = max(self.held_kept, slot.uses_since + 1)
+        elif slot.loads_since is not None:
+            self.cache_size = max(self.cache_size, slot.loads_since + 1)
         slot.version = version
         slot.replaces = None
         slot.state = SlotState.LOADED
--- a/bamboovale/decisions/engine_places.py
+++ b/bamboovale/decisions/engine_places.py
@@ -231,7 +231,7 @@
             queued=len(self._queue),
             backlog_s=self._backlog_s(now),
             open_slots=self._open_slots(),
-            kept=self.slots.held_kept,
+            kept=self.slots.cache_size,
             s_per_token=self.pacing.speed.s_per_token,
             held_up=self.pacing.stall_detector.is_stalled(),
         )
@@ -252,7 +252,7 @@
             "paced": self.pacing.is_on(),
             "fixed_s": round(self.pacing.speed.fixed_s, 4),
             "load_s": round(self.slots.load_s.value, 3),
-            "kept": self.slots.held_kept,
+            "kept": self.slots.cache_size,
             "may_order": self.may_order,
             "order_open": self._orders.is_open,
         }
