--- a/bamboovale/decisions/adapter_slots.py
+++ b/bamboovale/decisions/adapter_slots.py
@@ -41,7 +41,7 @@
 began."""
 UNLOAD_LOST_S = 5.0
 """An adapter that is still there so long after its unload was accepted stays."""
-RUNS_LAG_S = 0.15
+RUN_REPORT_LAG_S = 0.15
 """A report read sooner after the end of a run may still list it."""
 REPORT_LAG_S = 0.5
 """A report read sooner after a change may still show the state before it."""
@@ -97,7 +97,7 @@
     def forget_ended(self, facts: ReportedState) -> None:
         """Forget broken-off runs that the engine surely no longer has."""
         for request_id, at in list(self.aborted_at.items()):
-            shown = facts.read_at - at > RUNS_LAG_S
+            shown = facts.read_at - at > RUN_REPORT_LAG_S
             if shown and request_id not in facts.running:
                 del self.aborted_at[request_id]
 
--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from bamboovale.decisions.adapter_slots import RUNS_LAG_S
+from bamboovale.decisions.adapter_slots import RUN_REPORT_LAG_S
 from bamboovale.decisions.engine_places import EnginePlaces
 from bamboovale.decisions.place_work import (
     Action,
@@ -172,7 +172,7 @@
             aborted = notice.aborted
             self._carry_out(self.places.on_release(ask_id, now, aborted=aborted))
             if aborted:
-                self._look_by(now + 2 * RUNS_LAG_S)
+                self._look_by(now + 2 * RUN_REPORT_LAG_S)
 
     def entry_gone(self, entry_vm: str) -> None:
         """Free what a dead entry VM held."""
