--- a/tests/engine_load_play.py
+++ b/tests/engine_load_simulation.py
@@ -90,7 +90,7 @@
     loads_by_engine: Counter[str] = field(default_factory=Counter)
 
 
-class Play:
+class Simulation:
     """One play of a load; ``run`` returns what callers got."""
 
     def __init__(self, load: Load) -> None:
--- a/tests/test_decisions_engine_play.py
+++ b/tests/test_decisions_engine_load.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from tests.engine_load_play import Load, Play, Result
+from tests.engine_load_simulation import Load, Simulation, Result
 
 SLOWER = {"e4": 1.3, "e5": 1.3}
 
 
 def play(per_s: float, seed: int, **fields: object) -> Result:
     load = Load(per_s=per_s, seed=seed, speed_by_engine=SLOWER, **fields)  # type: ignore[arg-type]
-    return Play(load).run()
+    return Simulation(load).run()
 
 
 class TestSkewedLoad:
