--- a/bamboovale/decisions/adapter_slots.py
+++ b/bamboovale/decisions/adapter_slots.py
@@ -61,9 +61,9 @@
 class Slot:
     """One adapter at the engine.
 
-    ``loads_since`` is how many other adapters were loaded there since this one was, when
-    its load began; None if it never was. ``warm`` tells that it should come from the
-    engine's own memory. ``confirmed`` is False while no report has shown it loaded.
+    ``loads_since`` is how many other adapters were loaded there since this one was,
+    when its load began; None if it never was. ``warm`` tells that it should come from
+    the engine's own memory. ``confirmed`` is False while no report has shown it loaded.
     ``replaces`` is the version that the engine holds until a load has replaced it.
     """
 
--- a/bamboovale/decisions/dispatch.py
+++ b/bamboovale/decisions/dispatch.py
@@ -17,8 +17,6 @@
 from typing import Any
 
 from bamboovale.decisions.batching import QUEUE_BYTES, QUEUE_ITEMS, WaitQueue
-from bamboovale.decisions.slot_planner import SlotPlanner
-from bamboovale.decisions.slot_forecast import SlotForecast
 from bamboovale.decisions.permits import PermitBook
 from bamboovale.decisions.policy import Policy
 from bamboovale.decisions.refusals import (
@@ -27,6 +25,8 @@
     refuse_leaving,
     refuse_unloadable,
 )
+from bamboovale.decisions.slot_forecast import SlotForecast
+from bamboovale.decisions.slot_planner import SlotPlanner
 from bamboovale.decisions.wait_forecast import WaitForecast
 from bamboovale.decisions.work import (
     Action,
@@ -159,7 +159,7 @@
         refusals = self._refuse_hopeless(item, now) or self._make_room(item, now)
         if any(refuse.request_id == item.request_id for refuse in refusals):
             return list(refusals)
-        self._planner.wanted(item, now)
+        self._planner.on_request(item, now)
         self._queue.add(item, self._waits.spacing(item), now)
         return [*refusals, *self._decide(now)]
 
--- a/bamboovale/decisions/engine_choice.py
+++ b/bamboovale/decisions/engine_choice.py
@@ -110,7 +110,9 @@
         return key is None or self.snapshot.loaded.get(key, 0) >= version
 
 
-def _with_model(views: dict[str, EngineCandidate], model: str) -> dict[str, EngineCandidate]:
+def _with_model(
+    views: dict[str, EngineCandidate], model: str
+) -> dict[str, EngineCandidate]:
     """Leave out engines without the base model while others have it.
 
     Guards against an engine that has just started: idle as it is, it looks best, and
--- a/bamboovale/decisions/engine_places.py
+++ b/bamboovale/decisions/engine_places.py
@@ -23,7 +23,6 @@
     Action,
     AdapterKey,
     EngineCapacity,
-    ReportedState,
     EngineSnapshot,
     Grant,
     OrderLoad,
@@ -31,6 +30,7 @@
     QueuedRequest,
     RefusalReason,
     Refuse,
+    ReportedState,
 )
 from bamboovale.decisions.prompt_pacing import PromptPacing
 
--- a/bamboovale/decisions/load_scheduler.py
+++ b/bamboovale/decisions/load_scheduler.py
@@ -87,7 +87,9 @@
         key = (engine_id, lora_name)
         known = self._request_by_key.get(key)
         asked_at = known.asked_at if known else now
-        self._request_by_key[key] = LoadRequest(engine_id, lora_name, weight, asked_at, now)
+        self._request_by_key[key] = LoadRequest(
+            engine_id, lora_name, weight, asked_at, now
+        )
         return self._give(now)
 
     def on_withdrawn(self, engine_id: str, now: float) -> list[LoadGrant]:
@@ -133,7 +135,9 @@
         self._fill(now)
         turns: list[LoadGrant] = []
         while self._request_by_key and self._may_give(now):
-            ask = min(self._request_by_key.values(), key=lambda ask: self._rank(ask, now))
+            ask = min(
+                self._request_by_key.values(), key=lambda ask: self._rank(ask, now)
+            )
             del self._request_by_key[ask.engine_id, ask.lora_name]
             self._tokens -= 1.0
             self._numbers += 1
--- a/bamboovale/decisions/prompt_pacing.py
+++ b/bamboovale/decisions/prompt_pacing.py
@@ -18,8 +18,8 @@
 from collections import deque
 from dataclasses import dataclass
 
-from bamboovale.decisions.stall_detector import StallDetector
 from bamboovale.decisions.prefill_speed import PrefillSpeed
+from bamboovale.decisions.stall_detector import StallDetector
 
 PAUSE_SHARE = 0.8
 """Of the allowed pause, what reading may take: three steps of an event take a tenth to
--- a/bamboovale/decisions/slot_forecast.py
+++ b/bamboovale/decisions/slot_forecast.py
@@ -8,8 +8,8 @@
 
 from bamboovale.decisions.batching import WaitQueue
 from bamboovale.decisions.demand import RecentDemand
-from bamboovale.decisions.slot_planner import SlotPlanner
 from bamboovale.decisions.permits import PermitBook
+from bamboovale.decisions.slot_planner import SlotPlanner
 from bamboovale.models import WorkClass
 
 UNPINNED = "unpinned"
--- a/bamboovale/decisions/slot_planner.py
+++ b/bamboovale/decisions/slot_planner.py
@@ -16,6 +16,7 @@
 from dataclasses import dataclass
 from typing import Any
 
+from bamboovale.decisions.adapter_value import AdapterValue
 from bamboovale.decisions.batching import WaitQueue
 from bamboovale.decisions.estimates import MovingAverage
 from bamboovale.decisions.permits import PermitBook
@@ -29,14 +30,13 @@
 )
 from bamboovale.decisions.work import (
     Action,
-    RequestLoadGrant,
     EngineView,
     Load,
+    RequestLoadGrant,
     ReturnLoadGrant,
     Unload,
     WorkItem,
 )
-from bamboovale.decisions.adapter_value import AdapterValue
 
 LOADS_AT_ONCE = 2
 """As many as the weight store serves at full speed: more only share its bandwidth."""
@@ -112,7 +112,7 @@
             ]
             self._warm = dict.fromkeys(known[: max(self.slots.max_loras, 1)])
 
-    def wanted(self, item: WorkItem, now: float) -> None:
+    def on_request(self, item: WorkItem, now: float) -> None:
         """Count a request."""
         name = item.target.lora_name
         self.value.demand.add(name, now)
--- a/bamboovale/decisions/wait_forecast.py
+++ b/bamboovale/decisions/wait_forecast.py
@@ -8,9 +8,9 @@
 
 from bamboovale.decisions.batching import WaitQueue
 from bamboovale.decisions.estimates import MovingAverage
-from bamboovale.decisions.slot_planner import SlotPlanner
-from bamboovale.decisions.slot_forecast import SlotForecast
 from bamboovale.decisions.permits import PermitBook
+from bamboovale.decisions.slot_forecast import SlotForecast
+from bamboovale.decisions.slot_planner import SlotPlanner
 from bamboovale.decisions.work import WorkItem
 from bamboovale.models import WorkClass
 
--- a/bamboovale/emulator/caller.py
+++ b/bamboovale/emulator/caller.py
@@ -7,7 +7,7 @@
 
 import simpy
 
-from bamboovale.decisions.engine_choice import EngineChooser, EngineCandidate
+from bamboovale.decisions.engine_choice import EngineCandidate, EngineChooser
 from bamboovale.decisions.place_work import EngineSnapshot, Grant, QueuedRequest, Refuse
 from bamboovale.emulator.engine import EngineRun
 from bamboovale.emulator.outcomes import Outcome
@@ -156,7 +156,9 @@
             return False
         yield self._env.timeout(self._play.hop_s)
         ended = self._env.event()
-        listener = StreamListener(self._outcome, owner, grant.request.ask_id, self._kind)
+        listener = StreamListener(
+            self._outcome, owner, grant.request.ask_id, self._kind
+        )
         run = EngineRun(
             run_id=grant.request.ask_id,
             adapter=self._key,
--- a/bamboovale/emulator/owner.py
+++ b/bamboovale/emulator/owner.py
@@ -11,12 +11,12 @@
 from bamboovale.decisions.place_work import (
     Action,
     EngineCapacity,
-    ReportedState,
     Grant,
     OrderLoad,
     OrderUnload,
     QueuedRequest,
     Refuse,
+    ReportedState,
 )
 from bamboovale.emulator.engine import AdapterKey, EngineModel
 from bamboovale.emulator.scenario import Deployment
--- a/bamboovale/emulator/play.py
+++ b/bamboovale/emulator/play.py
@@ -118,7 +118,9 @@
 
     def _note_held_up(self) -> None:
         owners = self._owner_by_name.values()
-        held_up = sum(owner.places.pacing.stall_detector.is_stalled() for owner in owners)
+        held_up = sum(
+            owner.places.pacing.stall_detector.is_stalled() for owner in owners
+        )
         many = is_pool_stalled(held_up, len(owners))
         for owner in owners:
             owner.places.pacing.pool_stalled = many
--- a/bamboovale/engines/holder.py
+++ b/bamboovale/engines/holder.py
@@ -15,12 +15,12 @@
 from bamboovale.decisions.dispatch import DispatchConfig, EngineDispatch
 from bamboovale.decisions.policy import Policy
 from bamboovale.decisions.work import (
-    RequestLoadGrant,
     EngineHint,
     Grant,
     Load,
     Permit,
     Refuse,
+    RequestLoadGrant,
     ReturnLoadGrant,
     WorkItem,
 )
--- a/bamboovale/engines/load_turns.py
+++ b/bamboovale/engines/load_turns.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from bamboovale.actors import MessageActor, Tick
-from bamboovale.decisions.load_scheduler import LoadConfig, LoadScheduler, LoadGrant
+from bamboovale.decisions.load_scheduler import LoadConfig, LoadGrant, LoadScheduler
 from bamboovale.environment import Environment
 from bamboovale.leases.messages import WEIGHT_STORE
 from bamboovale.peers.messages import LoadTurnAsk, LoadTurnEnded, LoadTurnGiven
--- a/bamboovale/gateway/engine_assignment.py
+++ b/bamboovale/gateway/engine_assignment.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
-from bamboovale.decisions.stall_detector import is_pool_stalled
 from bamboovale.decisions.place_work import EngineCapacity
 from bamboovale.decisions.rendezvous import score
+from bamboovale.decisions.stall_detector import is_pool_stalled
 from bamboovale.gateway.engine_owner import EngineOwner
 from bamboovale.gateway.engines import Engines
 from bamboovale.gateway.model import EndpointRecord
--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -8,13 +8,13 @@
 from bamboovale.decisions.place_work import (
     Action,
     EngineCapacity,
-    ReportedState,
     Grant,
     OrderLoad,
     OrderUnload,
     QueuedRequest,
     RefusalReason,
     Refuse,
+    ReportedState,
 )
 from bamboovale.gateway.engine_orders import EngineCallFailed
 from bamboovale.gateway.messages import (
--- a/bamboovale/gateway/engines.py
+++ b/bamboovale/gateway/engines.py
@@ -304,7 +304,9 @@
         owned = self.fleet.engine(engine_id)
         if owned is None or owned.status is None:
             owner = self._owner_of(engine_id)
-            return EngineCandidate(engine_id, snapshot_of(record), owner, has_status=False)
+            return EngineCandidate(
+                engine_id, snapshot_of(record), owner, has_status=False
+            )
         sent = self._sent_by_id.setdefault(engine_id, _Sent())
         if owned.heard_at > sent.heard_at:
             sent.heard_at = owned.heard_at
--- a/bamboovale/gateway/place_search.py
+++ b/bamboovale/gateway/place_search.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from bamboovale.decisions.engine_choice import EngineChooser, EngineCandidate
+from bamboovale.decisions.engine_choice import EngineCandidate, EngineChooser
 from bamboovale.decisions.mechanisms import ALL_ON, Mechanisms
 from bamboovale.gateway.call import Call
 from bamboovale.gateway.endpoints import EndpointView
--- a/bench/virtual_time.py
+++ b/bench/virtual_time.py
@@ -13,7 +13,7 @@
 from functools import partial
 
 from bamboovale.decisions.dispatch import DispatchConfig, EngineDispatch
-from bamboovale.decisions.load_scheduler import LoadConfig, LoadScheduler, LoadGrant
+from bamboovale.decisions.load_scheduler import LoadConfig, LoadGrant, LoadScheduler
 from bamboovale.decisions.placement import (
     EnginePlacement,
     EngineSite,
@@ -22,13 +22,13 @@
 from bamboovale.decisions.policy import Policy
 from bamboovale.decisions.work import (
     Action,
-    RequestLoadGrant,
     EngineHint,
     EngineView,
     Grant,
     Load,
     Permit,
     Refuse,
+    RequestLoadGrant,
     ReturnLoadGrant,
     Unload,
     WorkItem,
@@ -340,7 +340,7 @@
         )
         job = Job(arrival, item, record, number % self.profile.entries)
         self._job_by_id[item.request_id] = job
-        if not self.policy.refuses_hopeless:
+        if not self.policy.refuses_late:
             self.loop.at(item.latest_start, lambda: self._give_up(job))
         self._ask_engine(job)
 
--- a/tests/engine_load_simulation.py
+++ b/tests/engine_load_simulation.py
@@ -12,18 +12,18 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from bamboovale.decisions.engine_choice import EngineChooser, EngineCandidate
+from bamboovale.decisions.engine_choice import EngineCandidate, EngineChooser
 from bamboovale.decisions.engine_places import EnginePlaces
 from bamboovale.decisions.place_work import (
     Action,
     AdapterKey,
     EngineCapacity,
-    ReportedState,
     EngineSnapshot,
     Grant,
     OrderLoad,
     QueuedRequest,
     Refuse,
+    ReportedState,
 )
 
 HOP_S = 0.0015
--- a/tests/test_decisions_advertised_vms.py
+++ b/tests/test_decisions_advertised_vms.py
@@ -2,7 +2,6 @@
 
 from collections import Counter
 
-from bamboovale.decisions.timer_lag import CALM_FOR_S, TimerLagMonitor
 from bamboovale.decisions.advertised_vms import (
     LEAST_NAMED,
     LEAST_NEAR,
@@ -10,6 +9,7 @@
     Candidate,
     advertised_in_domain,
 )
+from bamboovale.decisions.timer_lag import CALM_FOR_S, TimerLagMonitor
 
 DOMAINS = 5
 
--- a/tests/test_decisions_assignment.py
+++ b/tests/test_decisions_assignment.py
@@ -17,7 +17,9 @@
 
 def first_by_engine(engines: dict[str, str], vms: dict[str, str]) -> dict[str, str]:
     assignment = LeaseAssignment()
-    return {engine: assignment.vms_in_order(engine, engines, vms)[0] for engine in engines}
+    return {
+        engine: assignment.vms_in_order(engine, engines, vms)[0] for engine in engines
+    }
 
 
 class TestLeaseAssignment:
--- a/tests/test_decisions_dispatch.py
+++ b/tests/test_decisions_dispatch.py
@@ -10,12 +10,12 @@
 from bamboovale.decisions.policy import Policy
 from bamboovale.decisions.work import (
     Action,
-    RequestLoadGrant,
     EngineView,
     Grant,
     Load,
     Permit,
     Refuse,
+    RequestLoadGrant,
     ReturnLoadGrant,
     Unload,
     WorkItem,
--- a/tests/test_decisions_engine_choice.py
+++ b/tests/test_decisions_engine_choice.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from bamboovale.decisions.engine_choice import EngineChooser, EngineCandidate
+from bamboovale.decisions.engine_choice import EngineCandidate, EngineChooser
 from bamboovale.decisions.place_work import EngineSnapshot
 
 KEY = ("base", "a1")
--- a/tests/test_decisions_engine_load.py
+++ b/tests/test_decisions_engine_load.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.engine_load_simulation import Load, Simulation, Result
+from tests.engine_load_simulation import Load, Result, Simulation
 
 SLOWER = {"e4": 1.3, "e5": 1.3}
 
--- a/tests/test_decisions_engine_places.py
+++ b/tests/test_decisions_engine_places.py
@@ -3,13 +3,13 @@
 from bamboovale.decisions.engine_places import EnginePlaces
 from bamboovale.decisions.place_work import (
     EngineCapacity,
-    ReportedState,
     Grant,
     OrderLoad,
     OrderUnload,
     QueuedRequest,
     RefusalReason,
     Refuse,
+    ReportedState,
 )
 
 MODEL = "base"
--- a/tests/test_decisions_load_scheduler.py
+++ b/tests/test_decisions_load_scheduler.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from bamboovale.decisions.load_scheduler import LoadConfig, LoadScheduler, LoadGrant
+from bamboovale.decisions.load_scheduler import LoadConfig, LoadGrant, LoadScheduler
 
 CONFIG = LoadConfig(rate_per_s=5.0, at_once=2)
 
--- a/tests/test_decisions_prompt_pacing.py
+++ b/tests/test_decisions_prompt_pacing.py
@@ -6,9 +6,9 @@
 import pytest
 import simpy
 
-from bamboovale.decisions.stall_detector import StallDetector, is_pool_stalled
-from bamboovale.decisions.prompt_pacing import PromptPacing
 from bamboovale.decisions.prefill_speed import PrefillSpeed
+from bamboovale.decisions.prompt_pacing import PromptPacing
+from bamboovale.decisions.stall_detector import StallDetector, is_pool_stalled
 from bamboovale.emulator.engine import (
     EngineFigures,
     EngineModel,
