--- a/bamboovale/decisions/__init__.py
+++ b/bamboovale/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions under load: pure modules without sockets, clocks or actors."""
+"""Pure decision logic: no sockets, clocks or actors."""
--- a/bamboovale/decisions/adapter_slots.py
+++ b/bamboovale/decisions/adapter_slots.py
@@ -1,9 +1,8 @@
-"""The adapter slots of one engine, as its owner believes them to be.
+"""Tracks the adapter slots of one engine, as its owner knows them.
 
-Load pattern: reports lag by some 100 ms and orders may stay without an answer, while
-loads are wanted many times a second. The belief is kept ahead of the reports: an
-adapter counts from the order that loads it until a report shows that it is gone, so
-that loaded, coming and possibly coming adapters together never exceed the slots.
+Reports lag behind orders, and an order may stay without an answer. An adapter therefore
+occupies its slot from the order that loads it until a report shows that it is gone, so
+that loaded and possibly loading adapters never exceed the slots.
 """
 
 from collections import OrderedDict
@@ -14,43 +13,36 @@
 from bamboovale.decisions.estimates import MovingAverage
 from bamboovale.decisions.place_work import AdapterKey, ReportedState
 
-LOAD_GUESS_S = 0.42
-"""Until loads have been measured: 0.29 s from a weight store without queue, and the
-delay of the report that shows it."""
+INITIAL_LOAD_S = 0.42
+"""Expected load time, with the report delay, until loads have been seen."""
 REPORT_DELAY_S = 0.13
-"""From the end of a load until a report shows it: reports lag by some 100 ms and are
-read every 60 ms while a load is expected to end."""
+"""From the end of a load until a report shows it."""
 READY_MARGIN_S = 0.03
-"""Added to the expected end of a load; a request sent too early is refused by the
-engine, which costs a round trip and retry budget."""
+"""Added to the expected end of a load: an engine refuses a request sent too early."""
 WARM_LOAD_S = 0.06
-"""An adapter that the engine held recently comes from its own memory, ten times as
-fast as from the weight store."""
+"""Load time of an adapter that is still in the engine's own cache."""
 QUICK_LOAD_S = 0.25
-"""A load that a report shows so soon came from the engine's own memory: twice the time
-of such a load and the report's delay."""
-HELD_GUESS = 100
-"""Adapters that an engine is taken to keep in its own memory, the latest ones, until
-loads have shown better; engines of four deployments keep 41 to 120."""
-HELD_MOST = 256
-"""Adapters whose order of use is remembered; more than any engine is known to keep."""
+"""A load reported within this time came from the engine's own cache."""
+INITIAL_CACHE_SIZE = 100
+"""Adapters assumed to fit into the engine's own cache until loads show otherwise."""
+MAX_TRACKED = 256
+"""Bound on the adapters whose order of loads is remembered."""
 EARLY_PENALTY_S = 0.1
-"""Added to the expected load time after a request came too early."""
-LOAD_LOST_S = 1.5
-"""A load that the engine lists neither as loaded nor in transit after this time never
-began."""
-UNLOAD_LOST_S = 5.0
-"""An adapter that is still there so long after its unload was accepted stays."""
+"""Added to the expected load time after a request that came too early."""
+LOAD_TIMEOUT_S = 1.5
+"""A load that is neither complete nor reported after this time did not start."""
+UNLOAD_TIMEOUT_S = 5.0
+"""An adapter still reported this long after its unload counts as loaded again."""
 RUN_REPORT_LAG_S = 0.15
 """A report read sooner after the end of a run may still list it."""
 REPORT_LAG_S = 0.5
-"""A report read sooner after a change may still show the state before it."""
+"""A report read sooner after a change may still show the previous state."""
 DEMAND_HALF_LIFE_S = 8.0
-"""Popularity shifts within some seconds; an adapter asked for once is cold after."""
+"""Recent uses count half after this time."""
 
 
 class SlotState(Enum):
-    """What is known of an adapter's slot."""
+    """State of the adapter in a slot."""
 
     LOADED = auto()
     LOADING = auto()
@@ -61,10 +53,10 @@
 class Slot:
     """One adapter at the engine.
 
-    ``loads_since`` is how many other adapters were loaded there since this one was,
-    when its load began; None if it never was. ``warm`` tells that it should come from
-    the engine's own memory. ``confirmed`` is False while no report has shown it loaded.
-    ``replaces`` is the version that the engine holds until a load has replaced it.
+    ``loads_since`` is how many other adapters were loaded since the previous load of
+    this one, None if it was never loaded. ``warm`` is True if the load should come from
+    the engine's own cache. ``confirmed`` is False until a report shows the adapter as
+    loaded. ``replaces`` is the version that the engine holds until the load completes.
     """
 
     version: int
@@ -81,24 +73,25 @@
     aborted_at: dict[str, float] = field(default_factory=dict)
 
     def demand_at(self, now: float) -> float:
-        """Return the recent uses, fading by half-lives."""
+        """Return the exponentially decayed count of uses."""
         faded = 0.5 ** (max(0.0, now - self.used_at) / DEMAND_HALF_LIFE_S)
         return self.demand * faded
 
     def is_evictable(self) -> bool:
-        """Tell whether it is surely loaded and nobody uses it.
+        """Return whether the adapter is confirmed as loaded and unused.
 
-        An engine may run on what we broke off. Told to unload an adapter in use it
-        waits for the run, for seconds, and refuses every other order meanwhile.
+        An aborted run may still be active at the engine. An engine that is ordered to
+        unload an adapter in use waits for the run and refuses all other orders
+        meanwhile.
         """
         used = self.active or self.aborted_at
         return self.state is SlotState.LOADED and self.confirmed and not used
 
-    def forget_ended(self, facts: ReportedState) -> None:
-        """Forget broken-off runs that the engine surely no longer has."""
-        for request_id, at in list(self.aborted_at.items()):
-            shown = facts.read_at - at > RUN_REPORT_LAG_S
-            if shown and request_id not in facts.running:
+    def forget_ended_runs(self, report: ReportedState) -> None:
+        """Forget aborted runs that the engine no longer reports."""
+        for request_id, aborted_at in list(self.aborted_at.items()):
+            shown = report.read_at - aborted_at > RUN_REPORT_LAG_S
+            if shown and request_id not in report.running:
                 del self.aborted_at[request_id]
 
     def use(self, now: float) -> None:
@@ -108,26 +101,26 @@
 
 
 @dataclass
-class Newest:
-    """The newest version of an adapter and since when it is known here."""
+class NewestVersion:
+    """The newest known version of an adapter and when it became known."""
 
     version: int
     known_at: float
 
 
 class AdapterSlots:
-    """The slots by adapter; events are methods, nothing reads a clock."""
+    """Slots of one engine by adapter. Callers pass the current time."""
 
     def __init__(self, slots: int) -> None:
         self.slots = slots
-        self.load_s = MovingAverage(LOAD_GUESS_S)
-        self.cache_size = HELD_GUESS
+        self.load_s = MovingAverage(INITIAL_LOAD_S)
+        self.cache_size = INITIAL_CACHE_SIZE
         self._slot_by_key: dict[AdapterKey, Slot] = {}
-        self._newest_by_key: dict[AdapterKey, Newest] = {}
+        self._newest_by_key: dict[AdapterKey, NewestVersion] = {}
         self._unloaded_at: dict[AdapterKey, float] = {}
-        self._held: OrderedDict[AdapterKey, None] = OrderedDict()
+        self._recent_loads: OrderedDict[AdapterKey, None] = OrderedDict()
 
-    # What is believed.
+    # State.
 
     def __contains__(self, key: AdapterKey) -> bool:
         return key in self._slot_by_key
@@ -136,34 +129,34 @@
         return iter(self._slot_by_key.items())
 
     def get(self, key: AdapterKey | None) -> Slot | None:
-        """Return the slot of an adapter."""
+        """Return the slot of an adapter, None if it has none."""
         return None if key is None else self._slot_by_key.get(key)
 
-    def newest(self, key: AdapterKey) -> Newest:
-        """Return the newest version of an adapter."""
-        return self._newest_by_key.get(key) or Newest(1, 0.0)
+    def newest(self, key: AdapterKey) -> NewestVersion:
+        """Return the newest known version of an adapter."""
+        return self._newest_by_key.get(key) or NewestVersion(1, 0.0)
 
     def is_loaded(self, key: AdapterKey | None) -> bool:
-        """Tell whether an adapter is loaded, in whichever version."""
+        """Return whether any version of an adapter is loaded."""
         slot = self.get(key)
         return slot is not None and slot.state is SlotState.LOADED
 
     def is_outdated(self, key: AdapterKey) -> bool:
-        """Tell whether an adapter is loaded in an older version than the newest."""
+        """Return whether the loaded version is older than the newest."""
         slot = self._slot_by_key[key]
         loaded = slot.state is SlotState.LOADED
         return loaded and slot.version < self.newest(key).version
 
     def has_free(self) -> bool:
-        """Tell whether one more adapter fits."""
+        """Return whether a slot is free."""
         return len(self._slot_by_key) < self.slots
 
     def free(self) -> int:
-        """Return how many more adapters fit."""
+        """Return the number of free slots."""
         return self.slots - len(self._slot_by_key)
 
     def evictable(self, wanted: Collection[AdapterKey | None]) -> int:
-        """Return how many adapters nobody uses or waits for."""
+        """Return how many evictable adapters no queued request needs."""
         return sum(
             slot.is_evictable() and key not in wanted
             for key, slot in self._slot_by_key.items()
@@ -186,7 +179,7 @@
         }
 
     def awaits_report(self) -> bool:
-        """Tell whether a fresh report would bring news."""
+        """Return whether a report is expected to show a load as complete."""
         return any(
             slot.state is SlotState.LOADING or not slot.confirmed
             for slot in self._slot_by_key.values()
@@ -204,11 +197,10 @@
     def victim(
         self, wanted: Collection[AdapterKey | None], now: float
     ) -> AdapterKey | None:
-        """Return the idle adapter that is least worth its slot: outdated, then cold.
+        """Return the adapter to evict: outdated versions first, then the least used.
 
-        An adapter that is only expected to be loaded may still be in transit. Told to
-        unload it, the engine answers that it does not hold it, and it arrives later in
-        a slot that has been given away.
+        An unconfirmed adapter may still be in transit: the engine would reject its
+        unload and load it later into a slot that has been reassigned.
         """
         idle = [
             (not self.is_outdated(key), slot.demand_at(now), slot.used_at, key)
@@ -220,20 +212,20 @@
     # Orders.
 
     def note_version(self, key: AdapterKey, version: int, now: float) -> None:
-        """Learn of a version that some operator has named."""
+        """Record the version of an adapter that a request names."""
         newest = self._newest_by_key.get(key)
         if newest is None:
-            self._newest_by_key[key] = Newest(version, now)
+            self._newest_by_key[key] = NewestVersion(version, now)
         elif version > newest.version:
             newest.version = version
             newest.known_at = now
 
-    def hold(self, key: AdapterKey, version: int, now: float) -> Slot:
-        """Return the slot of an adapter that surely is loaded."""
+    def add_loaded(self, key: AdapterKey, version: int, now: float) -> Slot:
+        """Return the slot of an adapter that is known to be loaded."""
         return self._slot_by_key.setdefault(key, Slot(version, SlotState.LOADED, now))
 
     def begin_load(self, key: AdapterKey, now: float) -> int:
-        """Take a slot for an adapter, or replace its version; return the version."""
+        """Reserve a slot or replace the version; return the version to load."""
         version = self.newest(key).version
         slot = self._slot_by_key.get(key)
         if slot is None:
@@ -244,34 +236,34 @@
             slot.version = version
             slot.changed_at = now
             slot.ready_at = None
-            self._held.pop(key, None)  # the new version comes from the weight store
+            self._recent_loads.pop(key, None)  # the new version is not in the cache
         return version
 
     def begin_unload(self, key: AdapterKey) -> None:
-        """Give an adapter no new work: it is to go."""
+        """Mark an adapter as unloading, so that it gets no new requests."""
         self._slot_by_key[key].state = SlotState.UNLOADING
 
     def load_accepted(self, key: AdapterKey, now: float) -> None:
-        """Note that an engine has begun to load."""
+        """Record that the engine accepted a load."""
         slot = self._slot_by_key.get(key)
         if slot is None or slot.state is not SlotState.LOADING:
             return
         slot.changed_at = now
         slot.loads_since = self._uses_since(key)
         slot.warm = slot.loads_since is not None and slot.loads_since < self.cache_size
-        # A replacement waits for runs: only a report tells when it is complete.
+        # A replacement waits for active runs: only a report shows its end.
         if not slot.active:
             slot.ready_at = now + self._expected_load_s(warm=slot.warm)
-        self._held[key] = None
-        self._held.move_to_end(key)
-        if len(self._held) > HELD_MOST:
-            self._held.popitem(last=False)
+        self._recent_loads[key] = None
+        self._recent_loads.move_to_end(key)
+        if len(self._recent_loads) > MAX_TRACKED:
+            self._recent_loads.popitem(last=False)
 
     def unload_accepted(self, key: AdapterKey, now: float, *, at_once: bool) -> None:
-        """Note an unload that was done ``at_once``, or else waits for runs.
+        """Record an unload that is done (``at_once``) or waits for runs.
 
-        One that waits keeps its slot until a report shows it empty. Given away before,
-        the engine would be ordered past its slots by a run that we do not know of.
+        An unload that waits keeps its slot until a report shows it empty. Otherwise a
+        run unknown to this owner would make the engine exceed its slots.
         """
         slot = self._slot_by_key.get(key)
         if at_once:
@@ -281,7 +273,7 @@
             slot.changed_at = now
 
     def load_failed(self, key: AdapterKey) -> None:
-        """Take back a load that surely does not happen."""
+        """Undo a load that the engine rejected."""
         slot = self._slot_by_key.get(key)
         if slot is None or slot.state is not SlotState.LOADING:
             return
@@ -292,17 +284,17 @@
         slot.version = slot.replaces
 
     def unload_failed(self, key: AdapterKey) -> None:
-        """Use an adapter on that was to go."""
+        """Return an adapter whose unload failed to use."""
         slot = self._slot_by_key.get(key)
         if slot is not None and slot.state is SlotState.UNLOADING:
             slot.state = SlotState.LOADED
 
     def run_refused(self, key: AdapterKey, now: float, *, not_held: bool) -> None:
-        """Take an engine's refusal of a run; ``not_held``: it lacks the adapter.
+        """Handle a run that the engine refused; ``not_held``: adapter not loaded there.
 
-        The slot stays taken until a report tells. An engine also refuses a run whose
-        version it does not have: were the slot given away on its word, the next load
-        would be one too many and crash it.
+        The slot stays reserved until the next report. An engine also refuses a run for
+        a version that it does not hold; reusing the slot then would exceed its slots
+        and crash it.
         """
         slot = self._slot_by_key.get(key)
         if slot is None or slot.state is not SlotState.LOADED:
@@ -310,25 +302,25 @@
         if slot.confirmed and not not_held:
             return
         if not slot.confirmed:
-            self._note_early(slot)
+            self._on_early_request(slot)
         slot.state = SlotState.LOADING
         slot.ready_at = None
         slot.changed_at = now
         slot.confirmed = False
 
-    def _note_early(self, slot: Slot) -> None:
-        """Learn from a request that came before its load was complete.
+    def _on_early_request(self, slot: Slot) -> None:
+        """Adjust the estimates after a request that preceded the end of its load.
 
-        An adapter that should have been in the engine's memory was not: the engine
-        keeps fewer. Taken for kept all the same, every load of it would cost a repeat.
+        If the adapter was expected in the engine's cache, the cache is smaller than
+        assumed; otherwise loads take longer.
         """
         if slot.warm and slot.loads_since is not None:
             self.cache_size = (self.cache_size + 3 * slot.loads_since) // 4
         else:
             self.load_s.add(self.load_s.value + EARLY_PENALTY_S)
 
-    def note_ready(self, now: float) -> None:
-        """Take loads for complete once their expected time is over."""
+    def mark_ready(self, now: float) -> None:
+        """Mark loads as complete whose expected time has passed."""
         for slot in self._slot_by_key.values():
             if slot.state is not SlotState.LOADING or slot.ready_at is None:
                 continue
@@ -342,39 +334,41 @@
 
     def _uses_since(self, key: AdapterKey) -> int | None:
         """Return how many other adapters were loaded since this one; None: unknown."""
-        if key not in self._held:
+        if key not in self._recent_loads:
             return None
-        return next(n for n, held in enumerate(reversed(self._held)) if held == key)
+        return next(
+            n for n, recent in enumerate(reversed(self._recent_loads)) if recent == key
+        )
 
-    # Reports against belief.
+    # Reports.
 
-    def on_report(self, facts: ReportedState, now: float) -> None:
-        """Take a report; what it may not show yet is kept as it is believed."""
+    def on_report(self, report: ReportedState, now: float) -> None:
+        """Merge a report; keep changes that it may be too old to show."""
         for slot in self._slot_by_key.values():
-            slot.forget_ended(facts)
-        for key, version in facts.version_by_adapter.items():
-            if not self._just_unloaded(key, facts):
-                self._see_loaded(key, version, now)
-        for key in facts.loading:
-            if key not in self._slot_by_key and not self._just_unloaded(key, facts):
+            slot.forget_ended_runs(report)
+        for key, version in report.version_by_adapter.items():
+            if not self._just_unloaded(key, report):
+                self._on_reported_loaded(key, version, now)
+        for key in report.loading:
+            if key not in self._slot_by_key and not self._just_unloaded(key, report):
                 version = self.newest(key).version
                 self._slot_by_key[key] = Slot(version, SlotState.LOADING, now)
         for key in list(self._slot_by_key):
-            if key not in facts.version_by_adapter and key not in facts.loading:
-                self._miss(key, now)
+            if key not in report.version_by_adapter and key not in report.loading:
+                self._on_unreported(key, now)
 
-    def _see_loaded(self, key: AdapterKey, version: int, now: float) -> None:
+    def _on_reported_loaded(self, key: AdapterKey, version: int, now: float) -> None:
         slot = self._slot_by_key.get(key)
         if slot is None:
             self._slot_by_key[key] = Slot(version, SlotState.LOADED, now)
         elif slot.state is SlotState.UNLOADING:
-            if now - slot.changed_at > UNLOAD_LOST_S:
+            if now - slot.changed_at > UNLOAD_TIMEOUT_S:
                 slot.state = SlotState.LOADED
         elif slot.state is SlotState.LOADED and slot.confirmed:
             slot.version = version
         elif version >= slot.version:
             self._confirm(slot, version, now)
-        elif slot.state is SlotState.LOADING and self._is_old(slot, now):
+        elif slot.state is SlotState.LOADING and self._has_timed_out(slot, now):
             slot.state = SlotState.LOADED
             slot.version = version
 
@@ -390,28 +384,27 @@
         slot.confirmed = True
         slot.ready_at = None
 
-    def _is_old(self, slot: Slot, now: float) -> bool:
-        """Tell whether a replacement that waits for runs has waited long enough."""
-        return now - slot.changed_at > LOAD_LOST_S and not slot.active
+    def _has_timed_out(self, slot: Slot, now: float) -> bool:
+        """Return whether a replacement is overdue and no run blocks it."""
+        return now - slot.changed_at > LOAD_TIMEOUT_S and not slot.active
 
-    def _just_unloaded(self, key: AdapterKey, facts: ReportedState) -> bool:
-        """Tell whether the report may be older than an unload.
+    def _just_unloaded(self, key: AdapterKey, report: ReportedState) -> bool:
+        """Return whether the report may predate an unload.
 
-        Guards against taking an adapter for loaded that is gone: it would be evicted
-        again and again, each time with an order that does nothing.
+        Guards against treating an evicted adapter as loaded and evicting it again.
         """
-        at = self._unloaded_at.get(key)
-        if at is None:
+        unloaded_at = self._unloaded_at.get(key)
+        if unloaded_at is None:
             return False
-        if facts.read_at - at < REPORT_LAG_S:
+        if report.read_at - unloaded_at < REPORT_LAG_S:
             return True
         del self._unloaded_at[key]
         return False
 
-    def _miss(self, key: AdapterKey, now: float) -> None:
+    def _on_unreported(self, key: AdapterKey, now: float) -> None:
         slot = self._slot_by_key[key]
         expected = slot.state is SlotState.LOADED and not slot.confirmed
         coming = slot.state is SlotState.LOADING or expected
-        kept_s = LOAD_LOST_S if coming else REPORT_LAG_S
+        kept_s = LOAD_TIMEOUT_S if coming else REPORT_LAG_S
         if now - slot.changed_at > kept_s:
             del self._slot_by_key[key]
--- a/bamboovale/decisions/engine_places.py
+++ b/bamboovale/decisions/engine_places.py
@@ -169,7 +169,7 @@
         self._tokens += ask.tokens
         if ask.key is not None:
             self.slots.note_version(ask.key, version, now)
-            self.slots.hold(ask.key, version, now).active += 1
+            self.slots.add_loaded(ask.key, version, now).active += 1
 
     def on_release(
         self,
@@ -209,7 +209,7 @@
         if not self._known:
             return []
         self._note_stop(now)
-        self.slots.note_ready(now)
+        self.slots.mark_ready(now)
         self._sort_queue(now)
         actions: list[Action] = self._grants(now)
         actions += self._refusals(now)
