--- a/bamboovale/decisions/admission.py
+++ b/bamboovale/decisions/admission.py
@@ -1,16 +1,17 @@
-"""What an entry VM takes in: limits of the catalogue, fair shares, bounded memory.
+"""Admission control of one entry VM: limits, fair shares and bounded memory.
 
-Load pattern: one customer sends ten times its usual load, or callers send bodies faster
-than engines answer. Without limits the flood holds every thread and all memory of the
-entry VM, and the others' requests are turned away with the flood's.
+Guards against one customer that takes all threads and memory of an entry VM, so that
+the requests of other customers are refused as well.
 
-- A catalogue entry's limits are split over the entry VMs that its callers use. Peers
-  tell what they see of limited entries; an entry VM that did not hear from all of them
-  lately takes an equal part. While callers move, old news may let the parts add up to
-  more than the limit, for ``USAGE_VALID_S`` at most and never beyond one limit per VM.
-- Once more than half of the places are taken, no customer may hold more than twice an
+- A limit of a catalogue entry is split over the entry VMs that receive its requests.
+  Peers publish their rates of limited entries; an entry VM without recent rates from
+  all peers takes an equal share. While callers move, the shares may add up to more than
+  the limit, for at most ``USAGE_VALID_S`` and never to more than one limit per VM.
+
+- While more than half of the places are taken, no customer may hold more than twice an
   equal share of them.
-- Places and bytes are bounded; what does not fit is refused at once, not run.
+
+- Places and bytes are bounded; a request that exceeds them is refused at once.
 """
 
 import math
@@ -21,20 +22,20 @@
 from bamboovale.errors import ErrorCode, Refusal
 
 FAIR_FROM_SHARE = 0.5
-"""Below half of the places a burst of one customer harms nobody."""
+"""Share of taken places from which customers are limited to fair shares."""
 SHARE_FACTOR = 2.0
-"""Twice an equal share: demand is uneven, and half of the places stay for others."""
-LEAST_SHARE = 4
-"""Places any customer may hold, so that a small entry VM serves a few in parallel."""
+"""Multiple of an equal share that one customer may hold."""
+MIN_SHARE = 4
+"""Places that any customer may hold at a small entry VM."""
 BURST_S = 2.0
-"""A bucket holds two seconds of its rate: callers send in clumps, not evenly."""
+"""Capacity of a token bucket, in seconds of its rate."""
 USAGE_VALID_S = 10.0
-"""Peers tell usage every few seconds; older news no longer shows where callers are."""
+"""Age at which a peer's published usage is ignored."""
 USAGE_FADES_S = 5.0
-"""A caller that moved to another entry VM takes its part along within seconds."""
-USAGE_LEAST = 0.01
-"""Requests per second below which an entry is not worth telling about."""
-BUCKETS_KEPT = 4096
+"""Time constant of the moving rate of requests."""
+MIN_PUBLISHED_RATE = 0.01
+"""Requests per second below which the rate of an entry is not published."""
+MAX_BUCKETS = 4096
 """Only entries with limits and recent requests have a bucket."""
 RETRY_S = 1.0
 
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True)
 class AdmissionConfig:
-    """Bounds of one entry VM: open requests and their bytes."""
+    """Bounds of one entry VM on open requests and their bytes."""
 
     places: int = 512
     size_bytes: int = 64 * 1024 * 1024
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """A request that asks to be taken in; ``entry`` is its catalogue entry."""
+    """A request to be admitted; ``entry`` is its catalogue entry."""
 
     request_id: str
     customer: str
@@ -67,35 +68,35 @@
 
 
 @dataclass
-class Bucket:
-    """Tokens of one catalogue entry at this entry VM, and its requests per second."""
+class TokenBucket:
+    """Tokens and recent request rate of one catalogue entry at this entry VM."""
 
     tokens: float
     filled_at: float
-    rate_seen: float = 0.0
-    seen_at: float = 0.0
+    recent_rate: float = 0.0
+    counted_at: float = 0.0
 
     def fill(self, rate: float, now: float) -> None:
-        """Add what the rate allows since the last time."""
+        """Add the tokens that ``rate`` allows since the last call."""
         if rate > 0.0:
             gained = max(0.0, now - self.filled_at) * rate
             self.tokens = min(max(1.0, rate * BURST_S), self.tokens + gained)
         self.filled_at = now
 
-    def see(self, requests: int, now: float) -> float:
-        """Count requests and return the recent rate."""
-        faded = math.exp(-max(0.0, now - self.seen_at) / USAGE_FADES_S)
-        self.rate_seen = self.rate_seen * faded + requests / USAGE_FADES_S
-        self.seen_at = now
-        return self.rate_seen
+    def count_requests(self, requests: int, now: float) -> float:
+        """Count requests and return the recent rate per second."""
+        faded = math.exp(-max(0.0, now - self.counted_at) / USAGE_FADES_S)
+        self.recent_rate = self.recent_rate * faded + requests / USAGE_FADES_S
+        self.counted_at = now
+        return self.recent_rate
 
 
 class Admission:
-    """Takes requests in or refuses them, at one entry VM."""
+    """Admits or refuses requests at one entry VM."""
 
     @classmethod
     def from_config(cls, config: AdmissionConfig) -> "Admission":
-        """Return an empty admission."""
+        """Return an admission control without open requests."""
         return cls(config)
 
     def __init__(self, config: AdmissionConfig) -> None:
@@ -105,11 +106,11 @@
         self._open_by_customer: Counter[str] = Counter()
         self._open_by_entry: Counter[str] = Counter()
         self._open_bytes = 0
-        self._bucket_by_entry: dict[str, Bucket] = {}
+        self._bucket_by_entry: dict[str, TokenBucket] = {}
         self._usage_by_peer: dict[str, tuple[float, dict[str, float]]] = {}
 
     def set_live_vms(self, count: int) -> None:
-        """Take the number of entry VMs that share the limits."""
+        """Set the number of entry VMs that share the limits."""
         self._live_vms = max(1, count)
 
     def on_peer_usage(
@@ -118,15 +119,15 @@
         rate_by_entry: dict[str, float],
         now: float,
     ) -> None:
-        """Take what a peer sees of limited entries, in requests per second."""
+        """Store the rates of limited entries at a peer, in requests per second."""
         self._usage_by_peer[entry_vm] = (now, rate_by_entry)
 
     def usage(self, now: float) -> dict[str, float]:
-        """Return what to tell peers: recent requests per second of limited entries."""
+        """Return the rates to publish: requests per second of limited entries."""
         rate_by_entry: dict[str, float] = {}
         for entry, bucket in list(self._bucket_by_entry.items()):
-            rate = bucket.see(0, now)
-            if rate >= USAGE_LEAST:
+            rate = bucket.count_requests(0, now)
+            if rate >= MIN_PUBLISHED_RATE:
                 rate_by_entry[entry] = round(rate, 2)
             elif now - bucket.filled_at > USAGE_VALID_S:
                 del self._bucket_by_entry[entry]
@@ -138,7 +139,7 @@
         now: float,
         rng: random.Random,
     ) -> Refusal | None:
-        """Take a request in and return None, or return its refusal."""
+        """Admit a request and return None, or return its refusal."""
         refusal = self._bounds_refusal(arrival, rng) or self._limit_refusal(
             arrival,
             now,
@@ -149,7 +150,7 @@
         return refusal
 
     def on_done(self, request_id: str) -> None:
-        """Free what a request held."""
+        """Free the place and bytes of a request."""
         arrival = self._open_by_id.pop(request_id, None)
         if arrival is None:
             return
@@ -164,7 +165,7 @@
 
     @property
     def open(self) -> int:
-        """Return the requests taken in and not done."""
+        """Return the number of admitted requests that are not done."""
         return len(self._open_by_id)
 
     def _open(self, arrival: Arrival) -> None:
@@ -176,16 +177,16 @@
     def _bounds_refusal(self, arrival: Arrival, rng: random.Random) -> Refusal | None:
         config = self._config
         if len(self._open_by_id) >= config.places:
-            return _overloaded("all places of this entry VM are taken", rng)
+            return _refuse_overloaded("all places of this entry VM are taken", rng)
         if self._open_bytes + arrival.size_bytes > config.size_bytes:
-            return _overloaded("this entry VM holds too many bytes", rng)
+            return _refuse_overloaded("this entry VM holds too many bytes", rng)
         if len(self._open_by_id) < config.places * FAIR_FROM_SHARE:
             return None
         customers = len(self._open_by_customer)
         customers += arrival.customer not in self._open_by_customer
-        share = max(LEAST_SHARE, SHARE_FACTOR * config.places / max(2, customers))
+        share = max(MIN_SHARE, SHARE_FACTOR * config.places / max(2, customers))
         if self._open_by_customer[arrival.customer] >= share:
-            return _overloaded("the customer holds its share of places", rng)
+            return _refuse_overloaded("the customer holds its share of places", rng)
         return None
 
     def _limit_refusal(
@@ -201,48 +202,48 @@
         if limits.concurrency is not None:
             most = max(1, round(limits.concurrency * share))
             if self._open_by_entry[arrival.entry] >= most:
-                return _limited("concurrency", RETRY_S, rng)
+                return _refuse_limited("concurrency", RETRY_S, rng)
         bucket = self._bucket(arrival.entry, now)
         rate = (limits.requests_per_s or 0.0) * share
         bucket.fill(rate, now)
         if limits.requests_per_s is not None:
             if bucket.tokens < 1.0:
                 wait_s = (1.0 - bucket.tokens) / max(rate, 1e-3)
-                return _limited("requests_per_s", wait_s, rng)
+                return _refuse_limited("requests_per_s", wait_s, rng)
             bucket.tokens -= 1.0
-        bucket.see(1, now)
+        bucket.count_requests(1, now)
         return None
 
     def _share(self, entry: str, now: float) -> float:
-        """Return this entry VM's part of a limit, by where its callers are."""
+        """Return this entry VM's share of a limit, by the rates at its peers."""
         equal = 1.0 / self._live_vms
-        heard = [
+        peer_rates = [
             rates
             for at, rates in self._usage_by_peer.values()
             if now - at <= USAGE_VALID_S
         ]
-        if len(heard) < self._live_vms - 1:
+        if len(peer_rates) < self._live_vms - 1:
             return equal
-        others = sum(rates.get(entry, 0.0) for rates in heard)
-        own = self._bucket(entry, now).see(0, now) + USAGE_LEAST
+        others = sum(rates.get(entry, 0.0) for rates in peer_rates)
+        own = self._bucket(entry, now).count_requests(0, now) + MIN_PUBLISHED_RATE
         return max(equal, own / (own + others))
 
-    def _bucket(self, entry: str, now: float) -> Bucket:
+    def _bucket(self, entry: str, now: float) -> TokenBucket:
         bucket = self._bucket_by_entry.get(entry)
         if bucket is None:
-            if len(self._bucket_by_entry) >= BUCKETS_KEPT:
+            if len(self._bucket_by_entry) >= MAX_BUCKETS:
                 self._bucket_by_entry.pop(next(iter(self._bucket_by_entry)))
-            bucket = Bucket(tokens=math.inf, filled_at=now)  # full at first
+            bucket = TokenBucket(tokens=math.inf, filled_at=now)  # starts full
             self._bucket_by_entry[entry] = bucket
         return bucket
 
 
-def _overloaded(message: str, rng: random.Random) -> Refusal:
+def _refuse_overloaded(message: str, rng: random.Random) -> Refusal:
     return Refusal(ErrorCode.OVERLOADED, message, True, _jitter(RETRY_S, rng))
 
 
-def _limited(which: str, wait_s: float, rng: random.Random) -> Refusal:
-    message = f"over the catalogue entry's limit {which}"
+def _refuse_limited(limit: str, wait_s: float, rng: random.Random) -> Refusal:
+    message = f"over the catalogue entry's limit {limit}"
     return Refusal(
         ErrorCode.RATE_LIMITED,
         message,
--- a/bamboovale/decisions/assignment.py
+++ b/bamboovale/decisions/assignment.py
@@ -1,14 +1,12 @@
-"""Which entry VM should hold the lease of which engine.
+"""Assigns the leases of engines to entry VMs.
 
-Load pattern: few entry VMs hold the leases of a few engines. Plain rendezvous hashing
-gave one of three VMs four of five leases, and with that VM four of five engines wait
-for a take-over at once. And when a failure domain is lost, engines elsewhere whose
-holders stood in it wait for a take-over too.
+Guards against a VM that holds most leases, and against a lost failure domain that takes
+the lease holders of engines elsewhere with it.
 
-Every VM works out the same assignment from the same two lists: engines in a fixed
-order each go to the first VM in their order that is not full: VMs of the engine's
-failure domain first, each group in rendezvous order. No VM gets more than its even
-share rounded up. A VM that comes or goes moves its own share and few others.
+Every VM computes the same assignment from the same two lists. Each engine, in a fixed
+order, goes to the first VM in its ranking that has not reached its even share, rounded
+up. VMs of the engine's failure domain rank first; within each group the ranking is by
+rendezvous hashing, so that a VM that joins or leaves moves few other leases.
 """
 
 from collections import Counter
@@ -22,7 +20,7 @@
     failure_domain: str,
     domain_by_vm: Mapping[str, str],
 ) -> list[str]:
-    """Return the VMs in the engine's order, the best first."""
+    """Return all VMs in the ranking of an engine, the best first."""
 
     def rank(vm_id: str) -> tuple[bool, int]:
         return domain_by_vm[vm_id] == failure_domain, score(engine_id, vm_id)
@@ -31,10 +29,10 @@
 
 
 class LeaseAssignment:
-    """The assignment of engines to entry VMs, worked out anew when either changes.
+    """The assignment of engines to entry VMs, recomputed when either list changes.
 
-    At 600 engines and 380 VMs that is 228,000 hashes, some tenths of a second; it
-    happens when a VM comes or goes, not with every decision.
+    The cost grows with the product of engines and VMs; it is paid only when a VM or an
+    engine joins or leaves.
     """
 
     def __init__(self) -> None:
@@ -58,13 +56,15 @@
     domain_by_engine: Mapping[str, str],
     domain_by_vm: Mapping[str, str],
 ) -> Iterable[tuple[str, list[str]]]:
-    most = -(-len(domain_by_engine) // max(1, len(domain_by_vm)))
-    held: Counter[str] = Counter()
+    max_leases = -(-len(domain_by_engine) // max(1, len(domain_by_vm)))
+    lease_count: Counter[str] = Counter()
     for engine, domain in sorted(domain_by_engine.items()):
         ranking = ranked_vms(engine, domain, domain_by_vm)
-        first = next((vm_id for vm_id in ranking if held[vm_id] < most), None)
+        first = next(
+            (vm_id for vm_id in ranking if lease_count[vm_id] < max_leases), None
+        )
         if first is not None:
-            held[first] += 1
+            lease_count[first] += 1
             ranking.remove(first)
             ranking.insert(0, first)
         yield engine, ranking
--- a/tests/test_decisions_admission.py
+++ b/tests/test_decisions_admission.py
@@ -1,4 +1,4 @@
-"""What one entry VM takes in under floods and limits."""
+"""Tests of admission control under floods and limits."""
 
 import random
 
@@ -44,7 +44,7 @@
 
 
 class TestBounds:
-    """Places and bytes are bounded, whatever comes."""
+    """Guards against more open requests or bytes than configured."""
 
     @settings(derandomize=True, deadline=None, max_examples=60)
     @given(
@@ -79,7 +79,7 @@
 
 
 class TestHotCaller:
-    """One customer floods an entry VM; others still get their places."""
+    """Guards against one customer that takes the places of all others."""
 
     def test_places_stay_for_others(self) -> None:
         admission = Admission.from_config(AdmissionConfig(places=40))
@@ -101,9 +101,9 @@
 
 
 class TestLimits:
-    """A catalogue limit is split by where the entry's callers are."""
+    """Guards against a limit that is not split by where its callers are."""
 
-    def test_equal_part_without_news(self) -> None:
+    def test_equal_share_without_usage_of_peers(self) -> None:
         admission = Admission.from_config(AdmissionConfig())
         admission.set_live_vms(3)
         admitted = count_admitted(admission, seconds=20, rate_per_s=100)
@@ -130,11 +130,7 @@
 
 
 class TestFirstBurst:
-    """A burst right after the start is within the limit.
-
-    Ten tutors send at once to an entry that allows 100 requests a second. Nine were
-    refused, because a bucket began with a single token instead of a full one.
-    """
+    """Guards against a token bucket that starts empty and refuses a first burst."""
 
     def test_a_new_entry_takes_a_burst_within_its_rate(self) -> None:
         admission = Admission.from_config(AdmissionConfig())
