--- a/bamboovale/decisions/dispatch.py
+++ b/bamboovale/decisions/dispatch.py
@@ -337,7 +337,7 @@
         assert self._view is not None
         self._queue.remove(item.request_id)
         overnight_waits = self._queue.count(WorkClass.OVERNIGHT) > 0
-        self._queue.granted(item, overnight_waits)
+        self._queue.on_granted(item, overnight_waits)
         self._permits_given += 1
         config = self._config
         permit = Permit(
--- a/bamboovale/decisions/wait_forecast.py
+++ b/bamboovale/decisions/wait_forecast.py
@@ -57,7 +57,7 @@
 
         Whoever waits for an adapter that is not loaded takes no place meanwhile.
         """
-        sharing = self._queue.adapters_waited_for(self._planner.slots.loaded)
+        sharing = self._queue.count_waited_adapters(self._planner.slots.loaded)
         seconds = self._service_by_class[item.work_class].value
         return seconds / max(1, self.places) * max(1, sharing)
 
