--- a/bamboovale/decisions/dispatch.py
+++ b/bamboovale/decisions/dispatch.py
@@ -1,16 +1,16 @@
-"""One engine at its lease holder: queue, slots and permits as one aggregate.
+"""Dispatch of one engine at its lease holder: queue, slots and permits.
 
-Load pattern: many entry VMs want places on one engine at once. If each decided alone
-from reports that lag, they would overfill the batch and evict one another's adapters.
-One writer per engine makes both local rules:
+Many entry VMs want places on one engine. If each decided alone, by reports that lag,
+they would overfill its batch and evict adapters that others use. With one writer per
+engine:
 
-- grants never exceed the engine's batch, less what runs there without our permit;
-- an adapter with a permit, or that the engine lists as running, is never evicted;
-- a request gets its permit only while its adapter is loaded, as far as is known;
-- what cannot start in time is refused at once and never parked.
+- grants never exceed the engine's batch, less the runs that have no permit;
+- an adapter with a permit, or one that the engine reports as running, is not evicted;
+- a request gets its permit only while its adapter is known to be loaded;
+- a request that cannot start in time is refused at once.
 
-Events are methods; each returns the actions to be carried out, in order. Nothing here
-reads a clock, a socket or chance: the same events give the same actions.
+Events are methods that return the actions to carry out, in order. They use no clock,
+socket or random numbers: the same events give the same actions.
 """
 
 from dataclasses import dataclass
@@ -40,10 +40,10 @@
 from bamboovale.models import WorkClass
 
 PERMIT_MARGIN_S = 1.0
-"""Added to send-by before a silent entry VM's pin may end: slow timers, slow links."""
+"""Added to the send deadline before the pin of an unreachable entry VM may end."""
 PRIORITY_BY_CLASS = {WorkClass.INTERACTIVE: 0, WorkClass.OVERNIGHT: 10}
 ORDERS_STOPPED_GRACE_S = 1.0
-"""A late renewal stops orders for part of a second; an outage lasts longer."""
+"""Longer than the gap that a late lease renewal leaves."""
 UNBOUNDED = 1 << 40
 
 
@@ -64,11 +64,11 @@
 
 
 class EngineDispatch:
-    """Decides for one engine; the lease holder carries out what it returns."""
+    """Decides for one engine; the lease holder carries out the returned actions."""
 
     @classmethod
     def from_config(cls, config: DispatchConfig, policy: Policy) -> "EngineDispatch":
-        """Return the aggregate of an engine about which nothing is known yet."""
+        """Return the dispatch of an engine whose state is not known yet."""
         return cls(config=config, policy=policy)
 
     def __init__(self, *, config: DispatchConfig, policy: Policy) -> None:
@@ -88,34 +88,34 @@
             load_seconds=config.load_seconds,
         )
         self._view: EngineView | None = None
-        self._leaving = False
+        self._is_leaving = False
         self._may_grant = True
         self._orders_stopped_at: float | None = None
         self._permits_given = 0
         self._exclusive_permit_id = ""
         self._send_margin_s = config.send_within_s + config.permit_margin_s
-        self._openings = SlotForecast(
+        self._slot_forecast = SlotForecast(
             planner=self._planner,
             queue=self._queue,
             permits=self._permits,
         )
-        self._waits = WaitForecast(
+        self._wait_forecast = WaitForecast(
             queue=self._queue,
             permits=self._permits,
             planner=self._planner,
-            openings=self._openings,
+            openings=self._slot_forecast,
             service_seconds=config.service_seconds,
         )
 
     # Events from the engine.
 
     def on_engine_view(self, view: EngineView, now: float) -> list[Action]:
-        """Take over the engine's exact state; a new boot ends all permits."""
+        """Apply the engine's reported state; a new boot ends all permits."""
         read_at = now if view.read_at is None else view.read_at
         if self._view is not None and self._view.boot_id != view.boot_id:
-            self._engine_restarted(now)
+            self._on_engine_restart(now)
         self._view = view
-        self._waits.places = view.max_num_seqs
+        self._wait_forecast.places = view.max_num_seqs
         self._permits.drop_other_boots(view.boot_id)
         self._planner.apply_view(view, read_at, now)
         self._permits.linger_unseen(view, read_at - self._send_margin_s)
@@ -123,7 +123,7 @@
         return self._decide(now)
 
     def on_loaded(self, lora_name: str, now: float) -> list[Action]:
-        """Serve what waited for a load that succeeded."""
+        """Grant requests that waited for a load that succeeded."""
         self._planner.on_loaded(lora_name, now)
         return self._decide(now)
 
@@ -138,11 +138,11 @@
         return self._decide(now)
 
     def on_unloaded(self, lora_name: str, now: float) -> list[Action]:
-        """Load into the slot that an eviction made free."""
+        """Load into the slot that an eviction freed."""
         return self._planner.on_unloaded(lora_name, now) + self._decide(now)
 
     def on_unload_failed(self, lora_name: str, now: float) -> list[Action]:
-        """Leave the slot alone until the engine has been looked at again."""
+        """Leave the slot unused until the next view of the engine."""
         self._planner.slots.unload_failed(lora_name)
         return self._decide(now)
 
@@ -150,21 +150,21 @@
 
     def on_request(self, item: WorkItem, now: float) -> list[Action]:
         """Queue a request, or refuse it at once."""
-        if self._leaving:
+        if self._is_leaving:
             return [refuse_leaving(item)]
         if item.request_id in self._queue:
             return []
         if self._cannot_load(item, now):
             return [refuse_unloadable(item)]
-        refusals = self._refuse_hopeless(item, now) or self._make_room(item, now)
+        refusals = self._refuse_if_late(item, now) or self._make_room(item, now)
         if any(refuse.request_id == item.request_id for refuse in refusals):
             return list(refusals)
         self._planner.on_request(item, now)
-        self._queue.add(item, self._waits.spacing(item), now)
+        self._queue.add(item, self._wait_forecast.spacing(item), now)
         return [*refusals, *self._decide(now)]
 
     def on_cancel(self, request_id: str, now: float) -> list[Action]:
-        """Drop a queued request whose caller is gone."""
+        """Remove a queued request whose caller disconnected."""
         self._queue.remove(request_id)
         return self._decide(now)
 
@@ -182,15 +182,15 @@
         seconds = self._permits.seconds_held(permit_id, now)
         permit = self._permits.release(permit_id, now)
         if permit is not None:
-            self._openings.released(permit.lora_name, now)
-            self._waits.served(permit_class(permit), seconds)
+            self._slot_forecast.released(permit.lora_name, now)
+            self._wait_forecast.served(permit_class(permit), seconds)
         return self._decide(now)
 
     def on_entry_gone(self, entry_vm: str, now: float) -> list[Action]:
-        """Drop the queue of a dead entry VM; its permits linger until seen over.
+        """Drop the queue of a dead entry VM; its permits linger.
 
-        The VM may only be cut off from us and still send: until send-by and a margin
-        have passed, an engine that does not list the request proves nothing.
+        The VM may only be unreachable and still send requests. Before the send deadline
+        and a margin have passed, an engine that does not list a request proves nothing.
         """
         for item in [item for item in self._queue if item.entry_vm == entry_vm]:
             self._queue.remove(item.request_id)
@@ -198,7 +198,7 @@
         return self._decide(now)
 
     def on_permits_adopted(self, permits: list[Permit], now: float) -> list[Action]:
-        """Take over the permits that live entry VMs hold from the last holder."""
+        """Take over permits that live entry VMs hold from the previous holder."""
         boot_id = self._view.boot_id if self._view else None
         for permit in permits:
             if boot_id is None or permit.boot_id == boot_id:
@@ -208,7 +208,7 @@
     # Events from the load scheduler, the lease and the catalogue.
 
     def on_load_grant(self, lora_name: str, now: float) -> list[Action]:
-        """Use a turn at the weight store."""
+        """Use a load grant of the weight store."""
         return self._planner.on_load_grant(lora_name, now) + self._decide(now)
 
     def on_new_version(
@@ -218,7 +218,7 @@
         replaces: str,
         now: float,
     ) -> list[Action]:
-        """Warm a new version where the one it replaces was in demand."""
+        """Load a new version in advance if the replaced one was in demand."""
         if self._planner.value.demand.count(replaces, now) > 0.0:
             self._planner.on_new_version(lora_name, source, replaces, now)
         return self._decide(now)
@@ -230,69 +230,70 @@
             self._orders_stopped_at = None
         elif self._orders_stopped_at is None:
             self._orders_stopped_at = now
-            # A slot that takes no work until it is exchanged would take none at all.
+            # Without exchanges a draining slot would get no requests at all.
             self._planner.draining.clear()
         return self._decide(now)
 
     def set_may_grant(self, allowed: bool, now: float) -> list[Action]:
         """Stop or resume grants.
 
-        A holder whose lease has lapsed goes on granting what is loaded while the log
-        is down for everybody, since nobody can take its lease then. If only this
-        holder is cut off, another VM takes over and may evict what is granted here.
+        While the log is unavailable to all VMs, a holder with an expired lease
+        continues to grant loaded adapters, since no other VM can take its lease. If
+        only this holder is cut off, another VM takes over and may evict what is granted
+        here.
         """
         self._may_grant = allowed
         return self._decide(now)
 
     def set_may_evict_from(self, at: float) -> None:
-        """Evict nothing before the given moment."""
+        """Allow no eviction before the given time."""
         self._planner.may_evict_from = at
 
     def set_leaving(self, now: float) -> list[Action]:
-        """Give no new permit; send the whole queue to other engines."""
-        self._leaving = True
+        """Give no new permits; send all queued requests to other engines."""
+        self._is_leaving = True
         items = list(self._queue)
         for item in items:
             self._queue.remove(item.request_id)
         return [refuse_leaving(item) for item in items]
 
     def on_tick(self, now: float) -> list[Action]:
-        """Let time pass: back-offs end, hopeless waits are refused."""
+        """Refuse requests that can no longer start in time; end back-offs."""
         self._planner.on_tick(now)
         refusals: list[Action] = []
         for item in list(self._queue):
             if (
                 self._policy.refuses_late
-                and now + self._waits.shortest(item) > item.latest_start
+                and now + self._wait_forecast.shortest(item) > item.latest_start
             ):
                 self._queue.remove(item.request_id)
-                refusals.append(refuse_late(item, self._waits.of(item, now)))
+                refusals.append(refuse_late(item, self._wait_forecast.of(item, now)))
             elif self._cannot_load(item, now):
                 self._queue.remove(item.request_id)
                 refusals.append(refuse_unloadable(item))
         return refusals + self._decide(now)
 
-    # What it tells.
+    # State.
 
     def hint(self, now: float) -> EngineHint:
-        """Return what entry VMs choose an engine by."""
+        """Return the routing hint for entry VMs."""
         return EngineHint(
             engine_id=self._config.engine_id,
             base_model=self._config.base_model,
             fencing=self._config.fencing,
             loaded=tuple(sorted(self._planner.grantable)),
             loading=tuple(sorted(self._planner.coming())),
-            free_places=self._waits.free_places,
-            max_num_seqs=self._waits.places,
+            free_places=self._wait_forecast.free_places,
+            max_num_seqs=self._wait_forecast.places,
             queued=len(self._queue),
-            predicted_wait_s=self._waits.behind(len(self._queue)),
+            predicted_wait_s=self._wait_forecast.behind(len(self._queue)),
             load_seconds=self._planner.load_wait.value,
-            open_slots=self._openings.open_slots(now),
-            slot_wait_s=self._openings.slot_wait(now),
+            open_slots=self._slot_forecast.open_slots(now),
+            slot_wait_s=self._slot_forecast.slot_wait(now),
         )
 
     def permits(self) -> dict[str, Permit]:
-        """Return the permits by id, without those that only linger."""
+        """Return the permits by id, without lingering ones."""
         return dict(self._permits.permit_by_id)
 
     def dump(self, now: float) -> dict[str, Any]:
@@ -302,12 +303,12 @@
             "fencing": self._config.fencing,
             "policy": self._policy.name,
             "boot_id": self._view.boot_id if self._view else None,
-            "leaving": self._leaving,
+            "leaving": self._is_leaving,
             "may_grant": self._may_grant,
             "queued": len(self._queue),
             "queued_bytes": self._queue.size_bytes,
-            "free_places": self._waits.free_places,
-            "service_s": round(self._waits.service_seconds, 3),
+            "free_places": self._wait_forecast.free_places,
+            "service_s": round(self._wait_forecast.service_seconds, 3),
             **self._permits.dump(),
             **self._planner.dump(now),
         }
@@ -315,7 +316,7 @@
     # Decisions.
 
     def _decide(self, now: float) -> list[Action]:
-        if self._view is None or self._leaving:
+        if self._view is None or self._is_leaving:
             return []
         actions: list[Action] = []
         while self._may_grant and (item := self._next_item()) is not None:
@@ -323,7 +324,7 @@
         return actions + self._planner.plan(now)
 
     def _next_item(self) -> WorkItem | None:
-        if not self._waits.free_places:
+        if not self._wait_forecast.free_places:
             return None
         if self._permits.holds(self._exclusive_permit_id):
             return None
@@ -357,32 +358,32 @@
             self._exclusive_permit_id = permit.permit_id
         return Grant(permit)
 
-    def _engine_restarted(self, now: float) -> None:
+    def _on_engine_restart(self, now: float) -> None:
         self._permits.clear()
         self._planner.on_restart(now)
 
     # Predicted waits and refusals.
 
-    def _refuse_hopeless(self, item: WorkItem, now: float) -> list[Refuse]:
+    def _refuse_if_late(self, item: WorkItem, now: float) -> list[Refuse]:
         if not self._policy.refuses_late:
             return []
-        wait_s = self._waits.of(item, now)
+        wait_s = self._wait_forecast.of(item, now)
         if now + wait_s <= item.latest_start:
             return []
         return [refuse_late(item, wait_s)]
 
     def _make_room(self, item: WorkItem, now: float) -> list[Refuse]:
-        """Refuse what is furthest from its turn when the queue is full."""
+        """Refuse the last item behind this one, or this one, if the queue is full."""
         if self._queue.has_room(item):
             return []
         last = self._queue.last_behind(item)
         if last is None or last.size_bytes < item.size_bytes:
-            return [refuse_full(item, self._waits.behind(len(self._queue)))]
+            return [refuse_full(item, self._wait_forecast.behind(len(self._queue)))]
         self._queue.remove(last.request_id)
-        return [refuse_full(last, self._waits.behind(len(self._queue)))]
+        return [refuse_full(last, self._wait_forecast.behind(len(self._queue)))]
 
     def _cannot_load(self, item: WorkItem, now: float) -> bool:
-        """Tell whether a load is needed that nobody knows when to allow again."""
+        """Return whether a load is needed while orders are stopped for long."""
         stopped_at = self._orders_stopped_at
         if stopped_at is None or not self._policy.refuses_late:
             return False
@@ -392,6 +393,6 @@
 
 
 def permit_class(permit: Permit) -> WorkClass:
-    """Return the class of the request that a permit was given to."""
+    """Return the work class of the request that holds a permit."""
     overnight = permit.priority == PRIORITY_BY_CLASS[WorkClass.OVERNIGHT]
     return WorkClass.OVERNIGHT if overnight else WorkClass.INTERACTIVE
--- a/tests/test_decisions_dispatch.py
+++ b/tests/test_decisions_dispatch.py
@@ -1,4 +1,4 @@
-"""The rules of one engine's dispatch, under any order of events."""
+"""Tests of one engine's dispatch under arbitrary orders of events."""
 
 from dataclasses import replace
 
@@ -60,9 +60,9 @@
 
 
 class EngineMachine(RuleBasedStateMachine):
-    """An engine with real bounds carries out what the dispatch decides.
+    """Carries out the decisions of a dispatch on an engine with real bounds.
 
-    The engine refuses nothing: it asserts that it is never asked for more than it has.
+    The engine refuses nothing; it asserts that no order or grant exceeds its bounds.
     """
 
     policy = Policy.chosen()
@@ -76,7 +76,7 @@
         self.loaded: set[str] = set()
         self.loading: list[str] = []
         self.unloading: list[str] = []
-        self.asked: list[str] = []
+        self.load_requests: list[str] = []
         self.running: dict[str, Permit] = {}
         self.foreign: dict[str, str] = {}
         self.waiting: dict[str, WorkItem] = {}
@@ -106,7 +106,7 @@
         elif isinstance(action, Refuse):
             self.settle(action.request_id)
         elif isinstance(action, RequestLoadGrant):
-            self.asked.append(action.lora_name)
+            self.load_requests.append(action.lora_name)
         elif isinstance(action, Load):
             assert self.may_order
             assert action.lora_name not in self.loaded
@@ -182,11 +182,11 @@
         del self.running[permit_id]
         self.emit("on_release", permit_id)
 
-    @precondition(lambda self: self.asked)
+    @precondition(lambda self: self.load_requests)
     @rule(data=st.data())
-    def grant_load_slot(self, data: st.DataObject) -> None:
-        name = data.draw(st.sampled_from(sorted(self.asked)))
-        self.asked.remove(name)
+    def use_load_grant(self, data: st.DataObject) -> None:
+        name = data.draw(st.sampled_from(sorted(self.load_requests)))
+        self.load_requests.remove(name)
         self.emit("on_load_grant", name)
 
     @precondition(lambda self: self.loading)
@@ -210,7 +210,7 @@
             self.emit("on_unload_failed", name)
 
     @rule()
-    def look(self) -> None:
+    def poll_engine(self) -> None:
         self.emit("on_engine_view", self.view())
 
     @precondition(lambda self: len(self.running) + len(self.foreign) < PLACES)
@@ -247,23 +247,23 @@
         assert state["queued"] == len(self.waiting)
 
     def teardown(self) -> None:
-        """Serve all that still waits: nothing may starve on a mended engine."""
+        """Guard against requests that starve once the engine works normally."""
         self.may_order = True
         self.emit("set_may_order", True)
         self.foreign.clear()
         for _ in range(40 * (len(self.waiting) + 1)):
             if not self.waiting:
                 break
-            self.one_quiet_round()
+            self.end_all_runs_and_orders()
         assert not self.waiting
 
-    def one_quiet_round(self) -> None:
+    def end_all_runs_and_orders(self) -> None:
         for permit_id in list(self.running):
             del self.running[permit_id]
             self.emit("on_release", permit_id)
-        for name in list(dict.fromkeys(self.asked)):
+        for name in list(dict.fromkeys(self.load_requests)):
             self.emit("on_load_grant", name)
-        self.asked.clear()
+        self.load_requests.clear()
         while self.unloading:
             self.end_unload(succeeds=True)
         while self.loading:
@@ -274,7 +274,7 @@
 
 
 class BaselineMachine(EngineMachine):
-    """The baseline keeps the same bounds."""
+    """Guards against a baseline policy that exceeds the bounds."""
 
     policy = Policy.baseline()
 
@@ -292,13 +292,12 @@
 
 
 class TestPermits:
-    """Permits that end in unclean ways keep place and pin."""
+    """Guards against permits that lose place and pin while their request may run."""
 
-    def test_entry_gone_keeps_pin_until_seen_over(self) -> None:
-        """An entry VM falls silent with a permit that it may still use.
+    def test_lost_entry_vm_keeps_its_pin_until_the_run_ended(self) -> None:
+        """Guards against evicting an adapter that a silent entry VM may still use.
 
-        The holder hears nothing, the engine lists nothing yet. Evicting now would
-        pull the adapter from under a request that is sent a moment later.
+        Its request may reach the engine a moment after the view that does not list it.
         """
         dispatch = make_dispatch()
         dispatch.on_engine_view(make_view("a@1"), 0.0)
@@ -336,7 +335,7 @@
 
 
 class TestLeaving:
-    """A leaving engine gets nothing new and its queue goes elsewhere."""
+    """Guards against new requests at an engine that is leaving."""
 
     def test_queue_is_sent_elsewhere(self) -> None:
         dispatch = make_dispatch()
@@ -350,7 +349,7 @@
 
 
 class TestLease:
-    """Without a lease in force loaded adapters are served and nothing is ordered."""
+    """Guards against orders without a lease, and against idle loaded adapters."""
 
     def test_no_orders_without_lease(self) -> None:
         dispatch = make_dispatch()
@@ -359,8 +358,8 @@
         assert grants(dispatch.on_request(make_item(1, "a"), 0.0))
         assert dispatch.on_request(make_item(2, "b"), 0.0) == []
         assert dispatch.on_load_grant("b@1", 0.1) == [ReturnLoadGrant("b@1")]
-        asked = dispatch.set_may_order(True, 0.2)
-        assert [type(action) for action in asked] == [RequestLoadGrant]
+        load_requests = dispatch.set_may_order(True, 0.2)
+        assert [type(action) for action in load_requests] == [RequestLoadGrant]
 
     def test_new_holder_waits_before_first_eviction(self) -> None:
         dispatch = make_dispatch()
@@ -368,14 +367,14 @@
         dispatch.on_engine_view(make_view("a@1", "b@1"), 0.0)
         assert dispatch.on_request(make_item(1, "c"), 3.0) == []
         assert dispatch.on_load_grant("c@1", 4.0) == [ReturnLoadGrant("c@1")]
-        (ask,) = dispatch.on_tick(5.0)
-        assert isinstance(ask, RequestLoadGrant)
+        (load_request,) = dispatch.on_tick(5.0)
+        assert isinstance(load_request, RequestLoadGrant)
         (unload,) = dispatch.on_load_grant("c@1", 5.1)
         assert isinstance(unload, Unload)
 
 
 class TestExclusive:
-    """A crash suspect runs alone."""
+    """Guards against a crash suspect that runs beside other requests."""
 
     def test_waits_for_empty_engine_and_holds_it(self) -> None:
         dispatch = make_dispatch()
@@ -389,12 +388,8 @@
         after = grants(dispatch.on_release(alone.permit_id, 2.0))
         assert [permit.request_id for permit in after] == ["r3", "r4"]
 
-    def test_dead_entry_vm_holds_the_engine_only_until_seen_over(self) -> None:
-        """An entry VM dies while its suspect holds an engine alone.
-
-        The suspect's permit lingers; once the engine no longer lists the request, the
-        others must be served again, though nobody ever releases the permit.
-        """
+    def test_dead_entry_vm_blocks_the_engine_only_until_its_run_ended(self) -> None:
+        """Guards against a dead entry VM whose exclusive permit blocks the engine."""
         dispatch = make_dispatch()
         dispatch.on_engine_view(make_view("a@1"), 0.0)
         suspect = make_item(1, exclusive=True)
@@ -405,7 +400,7 @@
 
 
 class TestRefusals:
-    """What cannot start in time is refused at once, with spread retries."""
+    """Guards against late refusals and against retries at the same moment."""
 
     def test_full_engine_refuses_at_once(self) -> None:
         dispatch = make_dispatch()
@@ -431,11 +426,9 @@
 
 
 class TestExchange:
-    """Waiting work gets an idle slot, however much its adapter was in demand.
+    """Guards against an idle engine that keeps its adapters while others are needed.
 
-    Two adapters were in demand a moment ago; the engine now idles with both loaded. A
-    request for a third must not wait for their demand to be forgotten: an eviction
-    costs one later load at most, the wait is certain.
+    An eviction costs at most one later load; the wait of the queued request is certain.
     """
 
     def test_idle_engine_exchanges_at_once(self) -> None:
@@ -448,8 +441,8 @@
             for permit in grants(dispatch.on_request(item, now)):
                 dispatch.on_release(permit.permit_id, now)
         waiting = make_item(999, "c", arrived_at=now, latest_start=now + 30.0)
-        asked = dispatch.on_request(waiting, now)
-        assert [type(action) for action in asked] == [RequestLoadGrant]
+        load_requests = dispatch.on_request(waiting, now)
+        assert [type(action) for action in load_requests] == [RequestLoadGrant]
         (unload,) = dispatch.on_load_grant("c@1", now)
         assert isinstance(unload, Unload)
         (load,) = dispatch.on_unloaded(unload.lora_name, now)
@@ -458,7 +451,7 @@
 
 
 class TestFailingLoads:
-    """A failing weight store refuses at once, and is found mended."""
+    """Guards against long waits while loads fail, and refusals after they recover."""
 
     def fail_for_a_minute(self) -> EngineDispatch:
         """Let loads of one adapter fail until its request is refused."""
@@ -476,11 +469,10 @@
         item = make_item(2, "d", arrived_at=60.0, latest_start=75.0)
         assert refusals(dispatch.on_request(item, 60.0))
 
-    def test_serves_again_though_nobody_waited(self) -> None:
-        """The store mends, but the one adapter tried meanwhile is never loaded.
+    def test_serves_again_without_a_queued_request(self) -> None:
+        """Guards against refusals that never end after a failed load.
 
-        Its turn gets lost, so no load succeeds. Everybody else would be refused for
-        ever on the word of an old failure.
+        The grant for the only retry is lost, so that no load succeeds.
         """
         dispatch = self.fail_for_a_minute()
         dispatch.on_tick(95.0)
@@ -489,12 +481,12 @@
 
 
 class TestNewVersion:
-    """A new version is warmed at its edit where the old one was in demand."""
+    """Guards against loading a new version only when a request waits for it."""
 
-    def test_asks_for_a_load_before_anybody_waits(self) -> None:
+    def test_requests_a_load_before_a_request_waits(self) -> None:
         dispatch = make_dispatch()
         dispatch.on_engine_view(make_view("a@1"), 0.0)
         dispatch.on_request(make_item(1), 0.0)
-        asked = dispatch.on_new_version("a@2", "store/a/2", "a@1", 1.0)
-        assert [action.lora_name for action in asked] == ["a@2"]
+        load_requests = dispatch.on_new_version("a@2", "store/a/2", "a@1", 1.0)
+        assert [action.lora_name for action in load_requests] == ["a@2"]
         assert dispatch.on_new_version("z@2", "store/z/2", "z@1", 1.0) == []
--- a/tests/test_dispatch_faults.py
+++ b/tests/test_dispatch_faults.py
@@ -1,4 +1,4 @@
-"""Dispatch when messages are lost or orders are stopped."""
+"""Tests of dispatch when messages are lost or orders are stopped."""
 
 from dataclasses import replace
 
@@ -35,10 +35,9 @@
 
 
 class TestLostRelease:
-    """The place of a run that is over is given again.
+    """Guards against a place that stays taken because its release was lost.
 
-    A caller waits although the engine is idle. The run before ended, but the message
-    that releases its permit was lost when the link between two entry VMs broke.
+    The link between two entry VMs broke after the run had ended.
     """
 
     def dispatch_with_a_run(self) -> EngineDispatch:
@@ -78,11 +77,9 @@
 
 
 class TestOrdersStopped:
-    """What needs a load while none may be ordered is refused at once.
+    """Guards against queueing requests that need a load while loads are stopped.
 
-    The log is down, the lease has lapsed, and a tutor asks for an adapter that is not
-    loaded. Nobody knows when loads are allowed again; the request was held for its
-    whole wait of 30 s, with its caller's thread, and then refused.
+    They would be held for their whole wait and then refused.
     """
 
     def dispatch(self) -> EngineDispatch:
@@ -124,7 +121,7 @@
         assert self.refused(actions) == []
 
     def test_a_slot_kept_for_exchange_takes_work_again(self) -> None:
-        """No exchange can come: the loaded adapter would be served to nobody."""
+        """Guards against a draining adapter that gets no requests while orders stop."""
         dispatch = self.dispatch_of_two_places()
         dispatch.on_request(item("r1", 0.0), 0.0)
         dispatch.on_request(self.cold_item("r2", 0.0), 0.0)
