--- a/bamboovale/decisions/engine_places.py
+++ b/bamboovale/decisions/engine_places.py
@@ -1,15 +1,15 @@
-"""One engine at its owner: who gets a place, which adapters are loaded and evicted.
+"""Places, queue and adapters of one engine, decided by its owner.
 
-Load pattern: thousands of adapters share a few slots on each engine, and many entry
-VMs want places at once. If each of them ordered loads by what it knows, they would
-evict one another's adapters and overfill the engine, which crashes. One owner decides:
+Many entry VMs want places on one engine, and thousands of adapters share its few slots.
+If each VM ordered loads by what it knows, they would evict adapters that others need
+and overfill the engine, which crashes. A single owner decides:
 
-- a request is sent only once its adapter is loaded; sent earlier the engine refuses
-  it, which costs a round trip and retry budget;
-- an adapter with a place in use is not evicted, so that no order waits behind a run;
-- what cannot start in time is refused at once.
+- a request is sent only once its adapter is loaded, since the engine refuses it
+  otherwise;
+- an adapter with a place in use is not evicted, since the order would wait for the run;
+- a request that cannot start in time is refused at once.
 
-Events are methods that return actions. Nothing here reads a clock or a socket.
+Events are methods that return actions. They use no clock or socket.
 """
 
 from dataclasses import dataclass
@@ -34,21 +34,19 @@
 )
 from bamboovale.decisions.prompt_pacing import PromptPacing
 
-KV_SHARE = 0.92
-"""Of the token memory, by upper bounds: past it the engine preempts running work."""
+MAX_KV_SHARE = 0.92
+"""Share of the token memory that granted requests may take before preemption."""
 FIRST_TOKEN_S = 0.1
-"""From a started run to its first event besides reading the prompt."""
+"""From the start of a run to its first event, without the prefill."""
 VERSION_GRACE_S = 1.5
-"""How long requests still start on a replaced version while it is busy, so that they
-do not wait for its runs; far below the five seconds allowed."""
+"""How long requests still start on a replaced version that is in use."""
 STOPPED_GRACE_S = 0.4
-"""A lease that is renewed a little late costs nobody a place; past this, another
-engine is the better choice."""
+"""Longer than the gap that a late lease renewal leaves."""
 
 
 @dataclass
 class Place:
-    """A place in use."""
+    """A place in use by a granted request."""
 
     request: QueuedRequest
     granted_at: float
@@ -56,7 +54,7 @@
 
 
 class EnginePlaces:
-    """Places and queue of one engine, over its slots."""
+    """Places and queue of one engine, on top of its adapter slots."""
 
     def __init__(
         self,
@@ -77,17 +75,17 @@
         self._paced_since: dict[str, float] = {}
         self._place_by_id: dict[str, Place] = {}
         self._tokens = 0
-        self._known = False
+        self._has_report = False
         self._reported_active = 0
 
     # Events from the engine.
 
-    def on_report(self, facts: ReportedState, now: float) -> list[Action]:
-        """Take a report."""
-        self._known = True
-        self._orders.update_models(facts.version_by_model)
-        self._reported_active = facts.active
-        self.slots.on_report(facts, now)
+    def on_report(self, report: ReportedState, now: float) -> list[Action]:
+        """Apply a report of the engine."""
+        self._has_report = True
+        self._orders.update_models(report.version_by_model)
+        self._reported_active = report.active
+        self.slots.on_report(report, now)
         return self.decide(now)
 
     def on_order_done(
@@ -97,7 +95,7 @@
         *,
         at_once: bool,
     ) -> list[Action]:
-        """Take an order that was accepted; ``at_once``: it holds already."""
+        """Handle an accepted order; ``at_once``: it has already been carried out."""
         self._orders.on_done(order, now, at_once=at_once)
         if isinstance(order, OrderLoad) and order.adapter is not None:
             self._busyness.on_load(now)
@@ -109,10 +107,10 @@
         *,
         certain: bool,
     ) -> None:
-        """Take an order that was refused, or (not ``certain``) had no answer.
+        """Handle an order that was refused, or (not ``certain``) got no answer.
 
-        An order without an answer may still be carried out: its slot stays taken until
-        a report shows what became of it.
+        An order without an answer may still be carried out: its slot stays reserved
+        until a report shows the outcome.
         """
         self._orders.on_failed(order, certain=certain)
 
@@ -123,7 +121,7 @@
         *,
         not_held: bool,
     ) -> list[Action]:
-        """Take an engine's refusal; ``not_held`` if it says it lacks the adapter."""
+        """Handle a run that the engine refused; ``not_held``: adapter not loaded."""
         place = self._place_by_id.get(ask_id)
         if place is not None and place.request.key is not None:
             self.slots.run_refused(place.request.key, now, not_held=not_held)
@@ -132,20 +130,20 @@
 
     # Events from entry VMs.
 
-    def on_request(self, ask: QueuedRequest, now: float) -> list[Action]:
-        """Queue a request, or refuse it at once."""
-        if ask.key is not None:
-            self.slots.note_version(ask.key, ask.version, now)
-        self._queue.append(ask)
+    def on_request(self, request: QueuedRequest, now: float) -> list[Action]:
+        """Queue a request, grant it a place or refuse it."""
+        if request.key is not None:
+            self.slots.note_version(request.key, request.version, now)
+        self._queue.append(request)
         return self.decide(now)
 
     def on_cancel(self, ask_id: str, now: float) -> list[Action]:
-        """Drop a request whose caller is gone, queued or placed."""
-        self._queue = [ask for ask in self._queue if ask.ask_id != ask_id]
+        """Remove a request, queued or granted, whose caller disconnected."""
+        self._queue = [request for request in self._queue if request.ask_id != ask_id]
         return self.on_release(ask_id, now)
 
     def on_started(self, ask_id: str, now: float) -> None:
-        """Take the first event of a run: how late it came tells how busy we are."""
+        """Handle the first event of a run; its lateness measures the load."""
         place = self._place_by_id.get(ask_id)
         if place is None or place.started:
             return
@@ -157,19 +155,19 @@
             self.pacing.on_first_event(ask_id, now)
 
     def on_stall(self, ask_id: str, pause_s: float, now: float) -> None:
-        """Take word that a run's stream has just paused for long."""
+        """Record that a run's stream has just stalled for ``pause_s``."""
         if ask_id in self._place_by_id:
             self.pacing.on_stall(pause_s, now)
 
-    def adopt_place(self, ask: QueuedRequest, version: int, now: float) -> None:
-        """Take over a place that the engine's last owner granted."""
-        if ask.ask_id in self._place_by_id:
+    def adopt_place(self, request: QueuedRequest, version: int, now: float) -> None:
+        """Take over a place that the previous owner granted."""
+        if request.ask_id in self._place_by_id:
             return
-        self._place_by_id[ask.ask_id] = Place(ask, now, started=True)
-        self._tokens += ask.tokens
-        if ask.key is not None:
-            self.slots.note_version(ask.key, version, now)
-            self.slots.add_loaded(ask.key, version, now).active += 1
+        self._place_by_id[request.ask_id] = Place(request, now, started=True)
+        self._tokens += request.tokens
+        if request.key is not None:
+            self.slots.note_version(request.key, version, now)
+            self.slots.add_loaded(request.key, version, now).active += 1
 
     def on_release(
         self,
@@ -178,7 +176,7 @@
         *,
         aborted: bool = False,
     ) -> list[Action]:
-        """Free a place; ``aborted``: the engine may still work on the request."""
+        """Free a place; ``aborted``: the engine may still run the request."""
         place = self._place_by_id.pop(ask_id, None)
         if place is not None:
             self._tokens -= place.request.tokens
@@ -190,8 +188,10 @@
         return self.decide(now)
 
     def on_entry_gone(self, entry_vm: str, now: float) -> list[Action]:
-        """Free the places of an entry VM that is dead; its queue goes with it."""
-        self._queue = [ask for ask in self._queue if ask.entry_vm != entry_vm]
+        """Free the places and drop the queued requests of a dead entry VM."""
+        self._queue = [
+            request for request in self._queue if request.entry_vm != entry_vm
+        ]
         gone = [
             ask_id
             for ask_id, place in self._place_by_id.items()
@@ -205,10 +205,10 @@
     # Decisions.
 
     def decide(self, now: float) -> list[Action]:
-        """Return what follows from the present state."""
-        if not self._known:
+        """Return the actions that follow from the current state."""
+        if not self._has_report:
             return []
-        self._note_stop(now)
+        self._update_stopped_at(now)
         self.slots.mark_ready(now)
         self._sort_queue(now)
         actions: list[Action] = self._grants(now)
@@ -221,7 +221,7 @@
         return actions
 
     def snapshot(self, now: float) -> EngineSnapshot:
-        """Return what entry VMs choose by."""
+        """Return the state by which entry VMs choose an engine."""
         return EngineSnapshot(
             loaded=self.slots.versions(SlotState.LOADED),
             coming=self.slots.versions(SlotState.LOADING),
@@ -237,7 +237,7 @@
         )
 
     def summary(self, now: float) -> dict[str, Any]:
-        """Return how full the engine is, for the log."""
+        """Return the load of the engine for the log."""
         return {
             "active": len(self._place_by_id),
             "queued": len(self._queue),
@@ -258,7 +258,7 @@
         }
 
     def _open_slots(self) -> int:
-        wanted = {ask.key for ask in self._queue}
+        wanted = {request.key for request in self._queue}
         waiting = sum(key is not None and key not in self.slots for key in wanted)
         return self.slots.free() + self.slots.evictable(wanted) - waiting
 
@@ -269,7 +269,9 @@
             if not place.started
         ]
         queued_tokens = sum(
-            ask.prompt_tokens for ask in self._queue if self.slots.is_loaded(ask.key)
+            request.prompt_tokens
+            for request in self._queue
+            if self.slots.is_loaded(request.key)
         )
         pacing_s = self.pacing.backlog_s(queued_tokens, now)
         if not self._mechanisms.has(Mechanism.LATENESS):
@@ -277,166 +279,165 @@
         return max(pacing_s, self._busyness.backlog_s(ages_s, now))
 
     def awaits_report(self) -> bool:
-        """Tell whether a fresh report would bring news."""
+        """Return whether a report is expected to show a load as complete."""
         return self._orders.loads_model() or self.slots.awaits_report()
 
     def loads_model(self) -> bool:
-        """Tell whether the engine loads its base model, which takes seconds."""
+        """Return whether the engine is loading its base model, which takes seconds."""
         return self._orders.loads_model()
 
     def queue_length(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of queued requests."""
         return len(self._queue)
 
     def _sort_queue(self, now: float) -> None:
-        """Put first what can still meet its goal, the earliest goal before others.
+        """Sort requests that can still meet their goal first, by goal.
 
-        Past capacity, first come first served makes every request late by the same
-        wait. Serving those that can still be in time keeps most of them in time; the
-        late ones take what is left until their callers' patience ends.
+        Under overload, first come, first served makes every request late by the same
+        wait. Requests that are late already get the remaining places.
         """
         if not self._mechanisms.has(Mechanism.GOAL_ORDER):
             return
         load_s = self.slots.load_s.value
 
-        def place_in_queue(ask: QueuedRequest) -> tuple[bool, float]:
-            start_s = 0.0 if self.slots.is_loaded(ask.key) else load_s
-            prefill_s = self.pacing.prefill_s(ask.prompt_tokens)
-            late = now + start_s + prefill_s + FIRST_TOKEN_S > ask.goal_at
-            return late, ask.latest_start if late else ask.goal_at
+        def queue_position(request: QueuedRequest) -> tuple[bool, float]:
+            start_s = 0.0 if self.slots.is_loaded(request.key) else load_s
+            prefill_s = self.pacing.prefill_s(request.prompt_tokens)
+            late = now + start_s + prefill_s + FIRST_TOKEN_S > request.goal_at
+            return late, request.latest_start if late else request.goal_at
 
-        self._queue.sort(key=place_in_queue)
+        self._queue.sort(key=queue_position)
 
     def _grants(self, now: float) -> list[Action]:
-        """Give places in the queue's order, none before the one that reading holds up.
+        """Grant places in queue order, none behind a request that waits for pacing.
 
-        Those behind it would take the stretch that it waits for, and a long prompt
-        would never begin beside short ones.
+        Guards against short prompts that use up the prefill time for which a long one
+        waits.
         """
         grants: list[Action] = []
-        kept: list[QueuedRequest] = []
+        remaining: list[QueuedRequest] = []
         self._paced_until = None
         pauses = [place.request.pause_s for place in self._place_by_id.values()]
-        for ask in self._queue:
-            version = self._startable_version(ask, now)
-            if version is None or not self._has_room(ask):
-                kept.append(ask)
+        for request in self._queue:
+            version = self._startable_version(request, now)
+            if version is None or not self._has_room(request):
+                remaining.append(request)
                 continue
             if self._paced_until is not None:
-                self._paced_since.setdefault(ask.ask_id, now)
-                kept.append(ask)
+                self._paced_since.setdefault(request.ask_id, now)
+                remaining.append(request)
                 continue
-            pauses.append(ask.pause_s)
+            pauses.append(request.pause_s)
             pause_s = min((p for p in pauses if p is not None), default=None)
-            wait_s = self._pacing_wait_s(ask, pause_s, now)
+            wait_s = self._pacing_wait_s(request, pause_s, now)
             if wait_s > 0.0:
                 self._paced_until = now + wait_s
-                self._paced_since.setdefault(ask.ask_id, now)
-                kept.append(ask)
+                self._paced_since.setdefault(request.ask_id, now)
+                remaining.append(request)
             else:
-                grants.append(self._grant(ask, version, now))
-        self._queue = kept
-        self._forget_paced()
+                grants.append(self._grant(request, version, now))
+        self._queue = remaining
+        self._remove_stale_paced()
         return grants
 
     def _pacing_wait_s(
         self,
-        ask: QueuedRequest,
+        request: QueuedRequest,
         pause_s: float | None,
         now: float,
     ) -> float:
         if not self._mechanisms.has(Mechanism.PACING):
             return 0.0
-        return self.pacing.wait_s(ask.prompt_tokens, pause_s, now)
+        return self.pacing.wait_s(request.prompt_tokens, pause_s, now)
 
-    def _forget_paced(self) -> None:
-        """Forget who left the queue without a place."""
+    def _remove_stale_paced(self) -> None:
+        """Remove pacing times of requests that left the queue without a place."""
         if len(self._paced_since) > len(self._queue):
-            waiting = {ask.ask_id for ask in self._queue}
+            waiting = {request.ask_id for request in self._queue}
             for ask_id in self._paced_since.keys() - waiting:
                 del self._paced_since[ask_id]
 
     def next_decision_at(self) -> float | None:
-        """Return when to decide again though nothing happens before; None: no need."""
+        """Return when to decide next without an event, None if not needed."""
         times = (self.slots.next_ready_at(), self._paced_until)
         return min((at for at in times if at is not None), default=None)
 
-    def _startable_version(self, ask: QueuedRequest, now: float) -> int | None:
-        if ask.key is None:
-            return self._orders.version_by_model.get(ask.model)
-        slot = self.slots.get(ask.key)
+    def _startable_version(self, request: QueuedRequest, now: float) -> int | None:
+        if request.key is None:
+            return self._orders.version_by_model.get(request.model)
+        slot = self.slots.get(request.key)
         if slot is None or slot.state is not SlotState.LOADED:
             return None
-        newest = self.slots.newest(ask.key)
+        newest = self.slots.newest(request.key)
         if slot.version >= newest.version:
             return slot.version
         busy = slot.active > 0 and now - newest.known_at < VERSION_GRACE_S
         return slot.version if busy else None
 
-    def _has_room(self, ask: QueuedRequest) -> bool:
+    def _has_room(self, request: QueuedRequest) -> bool:
         if not self._place_by_id:
             return True
         if len(self._place_by_id) >= self.capacity.places:
             return False
-        return self._tokens + ask.tokens <= KV_SHARE * self.capacity.kv_tokens
-
-    def _grant(self, ask: QueuedRequest, version: int, now: float) -> Grant:
-        self._place_by_id[ask.ask_id] = Place(ask, now)
-        self._tokens += ask.tokens
-        paced_s = now - self._paced_since.pop(ask.ask_id, now)
-        self.pacing.on_granted(ask.ask_id, ask.prompt_tokens, now)
-        slot = self.slots.get(ask.key)
+        return self._tokens + request.tokens <= MAX_KV_SHARE * self.capacity.kv_tokens
+
+    def _grant(self, request: QueuedRequest, version: int, now: float) -> Grant:
+        self._place_by_id[request.ask_id] = Place(request, now)
+        self._tokens += request.tokens
+        paced_s = now - self._paced_since.pop(request.ask_id, now)
+        self.pacing.on_granted(request.ask_id, request.prompt_tokens, now)
+        slot = self.slots.get(request.key)
         if slot is None:
-            return Grant(ask, version, paced_s=paced_s)
+            return Grant(request, version, paced_s=paced_s)
         slot.active += 1
         slot.use(now)
-        return Grant(ask, version, slot.confirmed, paced_s)
+        return Grant(request, version, slot.confirmed, paced_s)
 
     def _refusals(self, now: float) -> list[Action]:
-        """Refuse what can no longer start in time."""
+        """Refuse requests that can no longer start in time."""
         refusals: list[Action] = []
-        kept: list[QueuedRequest] = []
+        remaining: list[QueuedRequest] = []
         load_s = self.slots.load_s.value
         waits_s = self._predicted_waits(now)
-        for ask, wait_s in zip(self._queue, waits_s, strict=True):
-            too_long_s = now + wait_s - ask.latest_start
-            if too_long_s > 0.0:
-                retry_s = max(load_s, too_long_s)
-                refusals.append(Refuse(ask, RefusalReason.LATE, retry_s))
-            elif self._cannot_load(ask, now):
-                refusals.append(Refuse(ask, RefusalReason.CANNOT_LOAD, load_s))
+        for request, wait_s in zip(self._queue, waits_s, strict=True):
+            excess_s = now + wait_s - request.latest_start
+            if excess_s > 0.0:
+                retry_s = max(load_s, excess_s)
+                refusals.append(Refuse(request, RefusalReason.LATE, retry_s))
+            elif self._cannot_load(request, now):
+                refusals.append(Refuse(request, RefusalReason.CANNOT_LOAD, load_s))
             else:
-                kept.append(ask)
-        self._queue = kept
+                remaining.append(request)
+        self._queue = remaining
         return refusals
 
     def _predicted_waits(self, now: float) -> list[float]:
-        """Return for each waiting request when its turn for a slot should come.
+        """Return the predicted wait for a slot of each queued request.
 
-        What needs a load waits for those before it, at the rate at which requests have
-        lately got slots. What waits for a load under way waits for no one else.
+        A request that needs a load waits for the loads queued before it, at the recent
+        slot turnover. One whose load is in progress waits for no others.
         """
         if not self._mechanisms.has(Mechanism.EARLY_REFUSAL):
             return [0.0] * len(self._queue)
         self._busyness.on_full(self._open_slots() < 0, now)
         waits_s = []
         ahead: set[AdapterKey] = set()
-        for ask in self._queue:
-            if ask.key is None or ask.key in self.slots or not self.may_order:
+        for request in self._queue:
+            if request.key is None or request.key in self.slots or not self.may_order:
                 waits_s.append(0.0)
                 continue
-            ahead.add(ask.key)
+            ahead.add(request.key)
             waits_s.append(self._busyness.slot_wait_s(len(ahead), now))
         return waits_s
 
-    def _note_stop(self, now: float) -> None:
+    def _update_stopped_at(self, now: float) -> None:
         if self.may_order:
             self._stopped_at = None
         elif self._stopped_at is None:
             self._stopped_at = now
 
-    def _cannot_load(self, ask: QueuedRequest, now: float) -> bool:
-        """Tell whether a load is needed and orders have been forbidden for a while."""
+    def _cannot_load(self, request: QueuedRequest, now: float) -> bool:
+        """Return whether a load is needed while orders have been stopped for long."""
         if self._stopped_at is None or now - self._stopped_at < STOPPED_GRACE_S:
             return False
-        return ask.key is not None and ask.key not in self.slots
+        return request.key is not None and request.key not in self.slots
