--- a/bamboovale/decisions/load_orders.py
+++ b/bamboovale/decisions/load_orders.py
@@ -1,12 +1,10 @@
-"""Which order an engine's owner gives next: load, replace, evict, or none.
+"""Chooses the next order of an engine's owner: load, replace, evict or none.
 
-Load pattern: more adapters are waited for than an engine has slots, while it takes one
-order at a time and fetches a few adapters at once. An eviction for each that waits
-would empty the engine of what it needs next, and orders given side by side would be
-counted against one another's expected number.
-
-So one order is open at a time, for the first in the queue that needs one; an adapter is
-evicted only for another that has no free slot, and only one is on its way out.
+More adapters are waited for than an engine has slots, and it takes one order at a time.
+An eviction for each waiting adapter would empty the engine, and concurrent orders would
+disagree on the expected order number. Therefore one order is open at a time, for the
+first queued request that needs one. An adapter is evicted only if no slot is free, and
+only one eviction is in progress.
 """
 
 from collections.abc import Mapping, Sequence
@@ -20,29 +18,29 @@
     QueuedRequest,
 )
 
-LOADS_AT_ONCE = 4
-"""An engine fetches no more adapters than this at a time."""
+MAX_CONCURRENT_LOADS = 4
+"""Number of adapters that an engine fetches at the same time."""
 
 
 class LoadOrders:
-    """The orders of one engine, over its slots and base models."""
+    """Orders of one engine, by its slots and base models."""
 
     def __init__(self, capacity: EngineCapacity, slots: AdapterSlots) -> None:
         self.version_by_model: dict[str, int] = {}
         self.is_open = False
         self._capacity = capacity
         self._slots = slots
-        self._model_loading: str | None = None
+        self._loading_model: str | None = None
 
     def update_models(self, version_by_model: Mapping[str, int]) -> None:
-        """Take the base models that a report lists."""
+        """Store the base models that a report lists."""
         self.version_by_model = dict(version_by_model)
-        if self._model_loading in self.version_by_model:
-            self._model_loading = None
+        if self._loading_model in self.version_by_model:
+            self._loading_model = None
 
     def loads_model(self) -> bool:
-        """Tell whether the engine loads its base model."""
-        return self._model_loading is not None
+        """Return whether the engine is loading its base model."""
+        return self._loading_model is not None
 
     def on_done(
         self,
@@ -51,7 +49,7 @@
         *,
         at_once: bool,
     ) -> None:
-        """Take an order that was accepted; ``at_once``: it holds already."""
+        """Handle an accepted order; ``at_once``: it has already been carried out."""
         self.is_open = False
         if order.adapter is None:
             return
@@ -62,10 +60,10 @@
             self._slots.load_accepted(key, now)
 
     def on_failed(self, order: OrderLoad | OrderUnload, *, certain: bool) -> None:
-        """Take an order that was refused, or (not ``certain``) had no answer."""
+        """Handle an order that was refused, or (not ``certain``) got no answer."""
         self.is_open = False
         if order.adapter is None:
-            self._model_loading = None
+            self._loading_model = None
         elif isinstance(order, OrderUnload):
             self._slots.unload_failed((order.model, order.adapter))
         elif certain:
@@ -78,14 +76,14 @@
         *,
         may_evict: bool,
     ) -> OrderLoad | OrderUnload | None:
-        """Return the order to give now, for the requests that wait in this order."""
+        """Return the next order for the queued requests, None if none is needed."""
         if self.is_open:
             return None
-        order = self._needed(queue, now, may_evict=may_evict)
+        order = self._next_needed(queue, now, may_evict=may_evict)
         self.is_open = order is not None
         return order
 
-    def _needed(
+    def _next_needed(
         self,
         queue: Sequence[QueuedRequest],
         now: float,
@@ -94,36 +92,36 @@
     ) -> OrderLoad | OrderUnload | None:
         models = self._capacity.models
         if len(models) == 1 and not self.version_by_model:
-            # Nobody is sent to an engine without its model; it is loaded unasked.
+            # No requests go to an engine without its model: load it in advance.
             return self._load_model(models[0])
-        for ask in queue:
-            order = self._for_request(ask, queue, now, may_evict=may_evict)
+        for request in queue:
+            order = self._for_request(request, queue, now, may_evict=may_evict)
             if order is not None:
                 return order
         return None
 
     def _for_request(
         self,
-        ask: QueuedRequest,
+        request: QueuedRequest,
         queue: Sequence[QueuedRequest],
         now: float,
         *,
         may_evict: bool,
     ) -> OrderLoad | OrderUnload | None:
-        if ask.model not in self.version_by_model:
-            return self._load_model(ask.model)
-        if ask.key is None:
+        if request.model not in self.version_by_model:
+            return self._load_model(request.model)
+        if request.key is None:
             return None
-        if ask.key not in self._slots:
-            return self._load_adapter(ask.key, queue, now, may_evict=may_evict)
-        if self._slots.is_outdated(ask.key):
-            return self._load(ask.key, now)
+        if request.key not in self._slots:
+            return self._load_adapter(request.key, queue, now, may_evict=may_evict)
+        if self._slots.is_outdated(request.key):
+            return self._load(request.key, now)
         return None
 
     def _load_model(self, model: str) -> OrderLoad | None:
         if self.loads_model() or self.version_by_model:
             return None
-        self._model_loading = model
+        self._loading_model = model
         return OrderLoad(model, None, 0)
 
     def _load_adapter(
@@ -134,7 +132,7 @@
         *,
         may_evict: bool,
     ) -> OrderLoad | OrderUnload | None:
-        if self._slots.count(SlotState.LOADING) >= LOADS_AT_ONCE:
+        if self._slots.count(SlotState.LOADING) >= MAX_CONCURRENT_LOADS:
             return None
         if self._slots.count(SlotState.UNLOADING):
             return None
@@ -142,7 +140,7 @@
             return self._load(key, now)
         if not may_evict:
             return None
-        victim = self._slots.victim({ask.key for ask in queue}, now)
+        victim = self._slots.victim({request.key for request in queue}, now)
         if victim is None:
             return None
         self._slots.begin_unload(victim)
--- a/tests/test_decisions_advertised_vms.py
+++ b/tests/test_decisions_advertised_vms.py
@@ -9,7 +9,7 @@
     Candidate,
     advertised_in_domain,
 )
-from bamboovale.decisions.timer_lag import CALM_FOR_S, TimerLagMonitor
+from bamboovale.decisions.timer_lag import IDLE_AFTER_S, TimerLagMonitor
 
 DOMAINS = 5
 
@@ -98,4 +98,4 @@
         while watch.is_busy and now < 60.0:
             now += 0.3
             watch.on_timer(0.0, now)
-        assert CALM_FOR_S <= now - 3.0 < 2 * CALM_FOR_S
+        assert IDLE_AFTER_S <= now - 3.0 < 2 * IDLE_AFTER_S
