--- a/bench/virtual_time.py
+++ b/bench/virtual_time.py
@@ -239,7 +239,7 @@
             PlacementConfig(failure_domain=domains[number % len(domains)]),
             self.policy,
         )
-        placement.set_live_entries(self.profile.entries)
+        placement.set_live_vms(self.profile.entries)
         placement.set_engines(engine.site for engine in self.engine_by_id.values())
         return placement
 
@@ -340,7 +340,7 @@
         )
         job = Job(arrival, item, record, number % self.profile.entries)
         self._job_by_id[item.request_id] = job
-        if not self.policy.refuses_hopeless:
+        if not self.policy.refuses_late:
             self.loop.at(item.latest_start, lambda: self._give_up(job))
         self._ask_engine(job)
 
