--- a/bamboovale/decisions/engine_choice.py
+++ b/bamboovale/decisions/engine_choice.py
@@ -102,7 +102,6 @@
 
 
 def _filter_by_model(
-    
     engines: dict[str, EngineCandidate], model: str
 ) -> dict[str, EngineCandidate]:
     """Leave out engines without the base model if others have it.
