--- a/tests/test_outer_names.py
+++ b/tests/test_outer_names.py
@@ -177,6 +177,10 @@
         await eventually(lambda: any(vm.journal.of("engine") for vm in site.vms))
         for vm in site.vms:
             state |= key_paths(json.loads(json.dumps(vm.vm.dump(), default=str)))
+        # Ownership may not have moved yet; an engine that leaves always ends it.
+        await site.runners[0].unregister()
+        await eventually(lambda: any(vm.journal.of("owner_stopped") for vm in site.vms))
+        for vm in site.vms:
             for line in vm.journal.lines:
                 line_paths.setdefault(line["event"], set()).update(key_paths(line))
     return state, {event: sorted(paths) for event, paths in line_paths.items()}
