--- a/bamboovale/gateway/engine_assignment.py
+++ b/bamboovale/gateway/engine_assignment.py
@@ -97,7 +97,7 @@
         return {service: self.pool_stalled(service) for service in services}
 
     async def write_stall_records_forever(self) -> None:
-        """Write to the store which pools are stalled, for ever.
+        """Write to the store which pools are stalled, forever.
 
         Only engine owners do: they receive the status of one another's engines.
         """
--- a/bamboovale/gateway/fleet.py
+++ b/bamboovale/gateway/fleet.py
@@ -28,8 +28,8 @@
     """An engine's owner, with the last status that it published.
 
     ``status`` is None before the first; ``last_seen`` is when it was last updated.
-    ``advertised`` tells whether the owner's membership entry lists the engine,
-    ``released`` that it no longer does.
+    ``advertised`` is whether the owner's membership entry lists the engine,
+    ``released`` whether it did and no longer does.
     """
 
     owner: str
--- a/bamboovale/gateway/followers.py
+++ b/bamboovale/gateway/followers.py
@@ -27,7 +27,7 @@
 
 
 class TopicFollower:
-    """Reads one keyed topic for ever and passes each change on.
+    """Reads one keyed topic forever and passes each change on.
 
     ``known_keys`` returns the keys that are reported as removed if a full read lacks
     them. ``pause_s`` returns the pause between two reads, which bounds the calls for a
@@ -75,7 +75,7 @@
         self._answered_at: float | None = None
 
     async def follow(self) -> None:
-        """Read for ever; failures are retried, the first of a series is logged."""
+        """Read forever; failures are retried, the first of a series is logged."""
         while True:
             if not self._needs_snapshot and not self._may_read(self._progress_age_s()):
                 await asyncio.sleep(STALENESS_CHECK_INTERVAL_S)
--- a/bamboovale/gateway/isolation.py
+++ b/bamboovale/gateway/isolation.py
@@ -33,7 +33,7 @@
         self._announce = announce
 
     async def watch(self) -> None:
-        """Suspend and resume ownership as isolation begins and ends, for ever.
+        """Suspend and resume ownership as isolation begins and ends, forever.
 
         Guards against a VM that is cut off from its peers only and keeps engines that
         no peer can use. The store's members distinguish this from the death of many
--- a/bamboovale/gateway/ownership.py
+++ b/bamboovale/gateway/ownership.py
@@ -161,7 +161,7 @@
         return self._engines_check_fencing and not self.reachable
 
     async def renew_forever(self) -> None:
-        """Renew the lease for ever, while this VM may own engines."""
+        """Renew the lease forever, while this VM may own engines."""
         while True:
             if self._suspended:
                 await asyncio.sleep(RETRY_INTERVAL_S)
--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -156,7 +156,7 @@
         self._wake_event.set()
 
     async def exchange_forever(self) -> None:
-        """Exchange gossip with the neighbours, for ever."""
+        """Exchange gossip with the neighbours, forever."""
         await self._wait_until_serving()
         while True:
             self._wake_event.clear()
@@ -187,7 +187,7 @@
             self._links.notify_all(targets, gossip)
 
     async def poll_forever(self) -> None:
-        """Act on gossip received from other VMs, for ever."""
+        """Act on gossip received from other VMs, forever."""
         while True:
             due_at = self._state.now() + POLL_INTERVAL_S
             await asyncio.sleep(POLL_INTERVAL_S)
--- a/bamboovale/gateway/registration.py
+++ b/bamboovale/gateway/registration.py
@@ -36,7 +36,7 @@
         self._is_written = False
 
     async def keep(self) -> None:
-        """Write the own address once and read the others for ever."""
+        """Write this VM's address once and read the others forever."""
         while True:
             try:
                 await self._write()
--- a/bamboovale/gateway/settings_watch.py
+++ b/bamboovale/gateway/settings_watch.py
@@ -37,7 +37,7 @@
         self._ignored_logged: list[str] = []
 
     async def watch(self) -> None:
-        """Poll the file for ever."""
+        """Poll the file forever."""
         while True:
             await asyncio.sleep(POLL_INTERVAL_S)
             self.poll()
--- a/bamboovale/gateway/status_exchange.py
+++ b/bamboovale/gateway/status_exchange.py
@@ -90,7 +90,7 @@
             self._links.notify_all(due, StatusSubscription())
 
     async def subscribe_forever(self) -> None:
-        """Renew subscriptions for ever while engine status is needed."""
+        """Renew subscriptions forever while engine status is needed."""
         while True:
             await asyncio.sleep(SUBSCRIBE_CHECK_INTERVAL_S)
             self.subscribe_to_owners()
--- a/bamboovale/gateway/store_watch.py
+++ b/bamboovale/gateway/store_watch.py
@@ -14,9 +14,9 @@
     """Distinguishes an outage of the store from a cut between it and this VM.
 
     The store is settled once it has answered VMs for ``RENEWAL_S`` without a silence or
-    a failed read of this VM. A VM whose own reads succeeded for that time also reports
-    the store as settled to the others, which is valid there until the next failed read:
-    endpoints can reach the store as that VM can.
+    a failed read of this VM. A VM whose reads succeeded for that time also reports the
+    store as settled to the others. Such a report is valid until the receiver's next
+    failed read, as endpoints can reach the store if the reporting VM can.
     """
 
     def __init__(self, now: Callable[[], float]) -> None:
--- a/tests/test_gateway_lost_reads.py
+++ b/tests/test_gateway_lost_reads.py
@@ -19,7 +19,7 @@
         self.reads = 0
 
     async def read(self, topic: str, offset: int, wait_s: float) -> Records:
-        """Wait for ever."""
+        """Wait forever."""
         self.reads += 1
         await asyncio.sleep(3600)
         return (), offset
