--- a/bamboovale/gateway/isolation.py
+++ b/bamboovale/gateway/isolation.py
@@ -21,13 +21,13 @@
     def __init__(
         self,
         state: VMState,
-        exchange: GossipProtocol,
+        gossip: GossipProtocol,
         ownership: Ownership,
         store: MetadataStore,
         announce: Callable[[], None],
     ) -> None:
         self._state = state
-        self._exchange = exchange
+        self._gossip = gossip
         self._ownership = ownership
         self._store = store
         self._announce = announce
@@ -42,7 +42,7 @@
         since = self._state.now()
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
-            heard, silent = self._exchange.neighbours.reachable_and_silent(
+            heard, silent = self._gossip.neighbours.reachable_and_silent(
                 self._state.now()
             )
             minority = len(silent) > len(heard) + 1
@@ -50,7 +50,7 @@
                 since = self._state.now()
             if minority and not self._state.isolated:
                 isolated_after_s = (
-                    ISOLATION_DELAY_S + 2 * self._exchange.neighbours.interval_s()
+                    ISOLATION_DELAY_S + 2 * self._gossip.neighbours.interval_s()
                 )
                 if self._state.now() - since < isolated_after_s:
                     continue
--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -92,7 +92,7 @@
         self._lateness = TimerLagMonitor()
         self._live: set[str] = set()
         self.status_exchange = EngineStatusExchange(state, engines, links)
-        self.exchange = GossipProtocol(
+        self.gossip = GossipProtocol(
             state.fleet.membership,
             state.fleet.changes,
             records.endpoints,
@@ -106,7 +106,7 @@
 
     def announce(self) -> None:
         """Update this VM's membership entry and gossip it if it changed."""
-        self.exchange.config_version = self._config_version()
+        self.gossip.config_version = self._config_version()
         is_new = self._state.fleet.membership.update_own(
             serving=self._state.serving(),
             owned=self._owned_to_announce(),
@@ -132,12 +132,12 @@
     def announce_leaving(self) -> None:
         """Announce to the neighbours that this process ends."""
         self._state.fleet.membership.update_own(serving=False, left=True)
-        self.exchange.mark_all_due()
+        self.gossip.mark_all_due()
         self._send_due()
 
     def broadcast_suspect(self, suspect: SuspectRequest) -> None:
         """Gossip a request that crashed its endpoint to every VM."""
-        if self.exchange.note_suspect(suspect):
+        if self.gossip.note_suspect(suspect):
             self._wake_event.set()
 
     def assign_engines(self) -> None:
@@ -149,7 +149,7 @@
 
     def on_store_answer(self, *, settled: bool) -> None:
         """Record that the store answered this VM, and whether it is settled."""
-        self.exchange.note_store_answer(self._state.now(), settled=settled)
+        self.gossip.note_store_answer(self._state.now(), settled=settled)
 
     def wake(self) -> None:
         """Send pending gossip without waiting for the next interval."""
@@ -162,7 +162,7 @@
             self._wake_event.clear()
             self._send_due()
             now = self._state.now()
-            wait_s = self.exchange.next_at(now) - now
+            wait_s = self.gossip.next_at(now) - now
             wait_started_at = now
             try:
                 async with asyncio.timeout(wait_s):
@@ -183,7 +183,7 @@
             self._state.journal.write("loop_late", late_s=round(late_s, 3))
 
     def _send_due(self) -> None:
-        for targets, gossip in self.exchange.due(self._state.now()):
+        for targets, gossip in self.gossip.due(self._state.now()):
             self._links.notify_all(targets, gossip)
 
     async def poll_forever(self) -> None:
@@ -195,7 +195,7 @@
             self._lateness.on_timer(now - due_at, now)
             self.announce()
             self._on_live_change()
-            store_age_s = self._state.now() - self.exchange.store_answered_at
+            store_age_s = self._state.now() - self.gossip.store_answered_at
             if self._assignment.take_over_lost_engines(
                 store_answers_others=store_age_s <= MAX_STORE_SILENCE_S
             ):
@@ -237,7 +237,7 @@
 
         Guards against a store that is unreachable only for this VM.
         """
-        newest = self.exchange.newest_config()
+        newest = self.gossip.newest_config()
         if newest is None or newest[1] <= self._config_version():
             return
         future = self._links.request(newest[0], TableQuery(), TABLE_TIMEOUT_S)
@@ -274,8 +274,8 @@
         now = self._state.now()
         if isinstance(message, Gossip):
             version = self._state.fleet.version
-            self.exchange.on_gossip(sender, message, now)
-            if self.exchange.has_updates():
+            self.gossip.on_gossip(sender, message, now)
+            if self.gossip.has_updates():
                 self._wake_event.set()
             if self._state.fleet.version != version:
                 self._on_live_change()
--- a/bamboovale/gateway/state_dump.py
+++ b/bamboovale/gateway/state_dump.py
@@ -10,7 +10,7 @@
 from bamboovale.gateway.vm_state import VMState
 
 
-def dump_fleet(state: VMState, exchange: GossipProtocol) -> dict[str, Any]:
+def dump_fleet(state: VMState, gossip: GossipProtocol) -> dict[str, Any]:
     """Return this VM's identity, the live VMs and its neighbours; ages in seconds."""
     now = state.now()
     membership = state.fleet.membership
@@ -28,7 +28,7 @@
                 "heard_s_ago": finite_age_s(now - neighbour.last_seen_at),
                 "watched": neighbour.watched,
             }
-            for vm_id, neighbour in exchange.neighbours.by_id.items()
+            for vm_id, neighbour in gossip.neighbours.by_id.items()
         },
         "unheard": {
             vm_id: membership.suspecting_observers(vm_id)
@@ -38,9 +38,9 @@
             domain: [member.vm_id for member in members]
             for domain, members in state.fleet.advertised_by_domain().items()
         },
-        "store_answered_s_ago": finite_age_s(now - exchange.store_answered_at),
+        "store_answered_s_ago": finite_age_s(now - gossip.store_answered_at),
         "store_settled": state.store_watch.is_settled(),
-        "endpoints_offset": exchange.endpoints_offset,
+        "endpoints_offset": gossip.endpoints_offset,
     }
 
 
--- a/bamboovale/gateway/vm.py
+++ b/bamboovale/gateway/vm.py
@@ -145,7 +145,7 @@
             on_fenced=lambda record, token: self._assignment.on_fenced(record, token),
             on_restart=self.state.endpoints.on_restart,
             pool_stalled=lambda service: self._assignment.pool_stalled(service),
-            hold_off_s=lambda: HOLD_OFF_S + self.peering.exchange.spread_s(),
+            hold_off_s=lambda: HOLD_OFF_S + self.peering.gossip.spread_s(),
             mechanisms=self._mechanisms,
         )
 
@@ -200,7 +200,7 @@
         )
         self._isolation = Isolation(
             self.state,
-            self.peering.exchange,
+            self.peering.gossip,
             self._ownership,
             self._store,
             self.peering.announce,
@@ -397,7 +397,7 @@
     def dump(self) -> dict[str, Any]:
         """Return the state of this process as JSON for operators."""
         return {
-            **dump_fleet(self.state, self.peering.exchange),
+            **dump_fleet(self.state, self.peering.gossip),
             **dump_engines(self.state, self._engines),
             "store_reads": dump_reads(self.records.followers()),
             "generation": self._ownership.generation,
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -684,7 +684,7 @@
     def test_a_vm_without_known_peers_has_a_dump(self) -> None:
         async def test() -> None:
             async with running_site() as site:
-                site.vms[0].vm.peering.exchange.store_answered_at = NEVER
+                site.vms[0].vm.peering.gossip.store_answered_at = NEVER
                 text = json.dumps(site.vms[0].vm.dump(), default=str, allow_nan=False)
                 assert json.loads(text)["store_answered_s_ago"] is None
 
@@ -810,7 +810,7 @@
     """Drop every message between one VM and the others."""
     cut.vm.links.request = refuse_request  # type: ignore[method-assign]
     cut.vm.links.notify_all = lambda ids, message: None  # type: ignore
-    cut.vm.peering.exchange.on_gossip = lambda *args: None  # type: ignore
+    cut.vm.peering.gossip.on_gossip = lambda *args: None  # type: ignore
 
 
 def refuse_request(vm_id: str, message: object, timeout_s: float) -> Future:
