--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -96,7 +96,7 @@
     def request_place(self, entry_vm: str, request: PlaceRequest, reply: Reply) -> None:
         """Grant or refuse a place, now or later."""
         now = self._context.now()
-        ask = QueuedRequest(
+        queued = QueuedRequest(
             ask_id=request.ask_id,
             entry_vm=entry_vm,
             model=request.model,
@@ -110,10 +110,10 @@
             pause_s=request.pause_s,
         )
         if not self.reachable:
-            reply(PlaceReply(ask.ask_id, reason="engine is lost", not_owner=True))
+            reply(PlaceReply(queued.ask_id, reason="engine is lost", not_owner=True))
             return
-        self._reply_by_ask[ask.ask_id] = reply
-        self._carry_out(self.places.on_request(ask, now))
+        self._reply_by_ask[queued.ask_id] = reply
+        self._carry_out(self.places.on_request(queued, now))
 
     def cancel(self, ask_id: str) -> None:
         """Drop a queued request."""
@@ -127,10 +127,10 @@
     def on_paused(self, ask_id: str, pause_s: float) -> None:
         """Record a long pause of a run's stream."""
         now = self._context.now()
-        evidence = self.places.pacing.stall_detector
-        before = evidence.is_stalled()
+        detector = self.places.pacing.stall_detector
+        before = detector.is_stalled()
         self.places.on_stall(ask_id, pause_s, now)
-        if evidence.is_stalled() and not before:
+        if detector.is_stalled() and not before:
             self._context.journal.write(
                 "engine_held_up",
                 engine=self.record.endpoint_id,
@@ -142,7 +142,7 @@
     def on_held(self, entry_vm: str, held: PlaceHeld) -> None:
         """Record a run in flight whose place the previous owner granted."""
         now = self._context.now()
-        ask = QueuedRequest(
+        running = QueuedRequest(
             ask_id=held.ask_id,
             entry_vm=entry_vm,
             model=held.model,
@@ -155,7 +155,7 @@
             latest_start=now,
             pause_s=held.pause_s,
         )
-        self.places.adopt_place(ask, held.version, now)
+        self.places.adopt_place(running, held.version, now)
 
     def release(self, notice: PlaceRelease) -> None:
         """Free a place, after the run ended, was refused or was aborted."""
@@ -233,8 +233,8 @@
                 self._spawn(self._order(action))
         self._schedule_decision(self._context.now())
 
-    def _reply(self, ask: QueuedRequest, reply: PlaceReply) -> None:
-        send_reply = self._reply_by_ask.pop(ask.ask_id, None)
+    def _reply(self, request: QueuedRequest, reply: PlaceReply) -> None:
+        send_reply = self._reply_by_ask.pop(request.ask_id, None)
         if send_reply is not None:
             send_reply(reply)
 
@@ -316,7 +316,7 @@
         now = self._context.now()
         self.places.may_order = self._orders.may_order()
         self._carry_out(
-            self.places.on_report(facts_from_report(report, requested_at), now)
+            self.places.on_report(state_from_report(report, requested_at), now)
         )
         return True
 
@@ -398,7 +398,7 @@
         task.add_done_callback(self._tasks.discard)
 
 
-def facts_from_report(report: EngineReport, read_at: float) -> ReportedState:
+def state_from_report(report: EngineReport, read_at: float) -> ReportedState:
     """Convert an engine's report into the input of the decisions."""
     return ReportedState(
         version_by_model={model.name: model.version for model in report.models},
--- a/bamboovale/gateway/engines.py
+++ b/bamboovale/gateway/engines.py
@@ -102,12 +102,12 @@
     _held_by_id: dict[str, PlaceHeld] = field(default_factory=dict)
     _owner_by_held: dict[str, str] = field(default_factory=dict)
 
-    def views(self, records: list[EndpointRecord]) -> dict[str, EngineCandidate]:
-        """Return the view of each reachable engine, for the choice of an engine."""
+    def candidates(self, records: list[EndpointRecord]) -> dict[str, EngineCandidate]:
+        """Return each reachable engine by id, for the choice of an engine."""
         self.on_engine_needed()
         self._prune(records)
         return {
-            record.endpoint_id: self._view(record)
+            record.endpoint_id: self._candidate(record)
             for record in records
             if self._is_reachable(record.endpoint_id)
         }
@@ -121,12 +121,12 @@
             for engine_id in kept.keys() - listed:
                 del kept[engine_id]
 
-    def note_sent(self, view: EngineCandidate, request: PlaceRequest) -> None:
+    def note_sent(self, candidate: EngineCandidate, request: PlaceRequest) -> None:
         """Count a request that the owner's last status does not contain yet."""
         sent = self._sent_by_id.setdefault(request.engine_id, _Sent())
         sent.tokens += request.prompt_tokens
         key = None if request.adapter is None else (request.model, request.adapter)
-        sent.loads += not view.holds(key, request.version)
+        sent.loads += not candidate.holds(key, request.version)
 
     async def request_place(self, engine_id: str, request: PlaceRequest) -> PlaceReply:
         """Request a place from the engine's owner; raises OwnerUnavailable."""
@@ -304,7 +304,7 @@
             held_up=status.held_up,
         )
 
-    def _view(self, record: EndpointRecord) -> EngineCandidate:
+    def _candidate(self, record: EndpointRecord) -> EngineCandidate:
         engine_id = record.endpoint_id
         owned = self.fleet.engine(engine_id)
         if owned is None or owned.status is None:
@@ -336,7 +336,7 @@
 
 
 def snapshot_from_record(record: EndpointRecord) -> EngineSnapshot:
-    """Return the outlook that an engine's own record gives, without a status."""
+    """Return the snapshot that an engine's own record gives, without a status."""
     return EngineSnapshot(
         loaded={
             (model.name, adapter): version
--- a/bamboovale/gateway/isolation.py
+++ b/bamboovale/gateway/isolation.py
@@ -42,10 +42,10 @@
         since = self._state.now()
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
-            heard, silent = self._gossip.neighbours.reachable_and_silent(
+            reachable, silent = self._gossip.neighbours.reachable_and_silent(
                 self._state.now()
             )
-            minority = len(silent) > len(heard) + 1
+            minority = len(silent) > len(reachable) + 1
             if not minority:
                 since = self._state.now()
             if minority and not self._state.isolated:
@@ -59,31 +59,33 @@
                 except StoreError as error:
                     self._state.journal.write("members_unknown", error=str(error))
                     continue
-                minority = self._is_minority(members, heard, silent)
+                minority = self._is_minority(members, reachable, silent)
             if minority != self._state.isolated and not self._state.stopping:
-                await self._change(minority, heard, silent)
+                await self._change(minority, reachable, silent)
 
     def _is_minority(
         self,
         members: frozenset[str],
-        heard: set[str],
+        reachable: set[str],
         silent: set[str],
     ) -> bool:
         """Return whether most members of the store's group are silent here.
 
-        In a large fleet only a few VMs are watched; if none of these is heard, no VM
-        is considered reachable.
+        In a large fleet only a few VMs are watched; if none of these is reachable, all
+        VMs are considered silent.
         """
         others = members - {self._state.node.name}
-        if not heard:
+        if not reachable:
             return len(others) > 1
         return len(others & silent) > len(others - silent) + 1
 
-    async def _change(self, isolated: bool, heard: set[str], silent: set[str]) -> None:
+    async def _change(
+        self, isolated: bool, reachable: set[str], silent: set[str]
+    ) -> None:
         self._state.isolated = isolated
         self._state.journal.write(
             "isolated" if isolated else "joined_again",
-            heard=sorted(heard),
+            heard=sorted(reachable),
             silent=sorted(silent),
         )
         self._announce()
--- a/bamboovale/gateway/peering.py
+++ b/bamboovale/gateway/peering.py
@@ -89,7 +89,7 @@
         self._wake_event = asyncio.Event()
         self._seen_version = -1
         self._fences_announced_at = -FENCE_ANNOUNCE_INTERVAL_S
-        self._lateness = TimerLagMonitor()
+        self._lag_monitor = TimerLagMonitor()
         self._live: set[str] = set()
         self.status_exchange = EngineStatusExchange(state, engines, links)
         self.gossip = GossipProtocol(
@@ -110,7 +110,7 @@
         is_new = self._state.fleet.membership.update_own(
             serving=self._state.serving(),
             owned=self._owned_to_announce(),
-            busy=self._lateness.is_busy,
+            busy=self._lag_monitor.is_busy,
         )
         if is_new:
             self._wake_event.set()
@@ -192,7 +192,7 @@
             due_at = self._state.now() + POLL_INTERVAL_S
             await asyncio.sleep(POLL_INTERVAL_S)
             now = self._state.now()
-            self._lateness.on_timer(now - due_at, now)
+            self._lag_monitor.on_timer(now - due_at, now)
             self.announce()
             self._on_live_change()
             store_age_s = self._state.now() - self.gossip.store_answered_at
--- a/bamboovale/gateway/place_search.py
+++ b/bamboovale/gateway/place_search.py
@@ -77,24 +77,28 @@
         full: dict[str, EngineFull] = {}
         while True:
             records = self._endpoints.ready(call.service)
-            views = self._engines.views(records)
+            candidates = self._engines.candidates(records)
             skipped = unavailable | full.keys()
-            chosen = self._choose(call, work, views, skipped, progress)
+            chosen = self._choose(call, work, candidates, skipped, progress)
             if full and (chosen is None or len(full) == MAX_FULL_ENGINES):
                 raise _no_place(progress, full)
-            unowned = chosen is None or self._lacks_status(views[chosen])
+            unowned = chosen is None or self._lacks_status(candidates[chosen])
             if unowned and self._may_wait_for_owner(call):
                 await asyncio.sleep(OWNER_POLL_INTERVAL_S)
                 unavailable.clear()
                 continue
             if chosen is None:
-                return self._choose_without_owner(call, work, views, version, progress)
+                return self._choose_without_owner(
+                    call, work, candidates, version, progress
+                )
             record = self._endpoints.record_by_id[chosen]
-            if views[chosen].owner is None:
+            if candidates[chosen].owner is None:
                 return record, None
             try:
-                view = views[chosen]
-                place = await self._request_place(call, work, view, version, progress)
+                candidate = candidates[chosen]
+                place = await self._request_place(
+                    call, work, candidate, version, progress
+                )
                 return record, place
             except EngineFull as error:
                 full[chosen] = error
@@ -108,7 +112,7 @@
         self,
         call: Call,
         work: ModelWork,
-        views: dict[str, EngineCandidate],
+        candidates: dict[str, EngineCandidate],
         skipped: set[str],
         progress: Progress,
     ) -> str | None:
@@ -116,24 +120,24 @@
         chooser = self._chooser_by_service.setdefault(
             call.service, EngineChooser(self._mechanisms)
         )
-        chooser.recently_held.update(views)
+        chooser.recently_held.update(candidates)
         key = None if work.adapter is None else (work.model, work.adapter)
         version = self._version_of(work.model, work.adapter)
         tokens = work.prompt_tokens
         excluded = progress.excluded | skipped
-        chosen = chooser.choose(key, version, views, excluded, tokens)
+        chosen = chooser.choose(key, version, candidates, excluded, tokens)
         if chosen is None:
-            chosen = chooser.choose(key, version, views, skipped, tokens)
+            chosen = chooser.choose(key, version, candidates, skipped, tokens)
         return chosen
 
-    def _lacks_status(self, view: EngineCandidate) -> bool:
+    def _lacks_status(self, candidate: EngineCandidate) -> bool:
         """Return whether no status of an engine was received yet.
 
         Guards against overloading a few engines after a start of all VMs: chosen by
         endpoint records alone, all VMs would pick the same ones and bypass the pacing
         of prompts by their owners.
         """
-        return not view.has_status
+        return not candidate.has_status
 
     def _may_wait_for_owner(self, call: Call) -> bool:
         """Return whether the request may still wait for an engine's owner to be known.
@@ -146,7 +150,7 @@
         self,
         call: Call,
         work: ModelWork,
-        views: dict,
+        candidates: dict,
         version: int,
         progress: Progress,
     ) -> tuple[EndpointRecord, GrantedPlace | None]:
@@ -154,28 +158,28 @@
         key = None if work.adapter is None else (work.model, work.adapter)
         holders = [
             name
-            for name, view in views.items()
-            if view.snapshot is not None
+            for name, candidate in candidates.items()
+            if candidate.snapshot is not None
             and name not in progress.excluded
-            and (key is None or view.snapshot.loaded.get(key, 0) >= version)
+            and (key is None or candidate.snapshot.loaded.get(key, 0) >= version)
         ]
         if not holders:
-            call.notes["engines"] = len(views)
+            call.notes["engines"] = len(candidates)
             raise progress.final_error(
                 "no engine can load the adapter now", NO_ENGINE_RETRY_S
             )
-        chosen = min(holders, key=lambda name: views[name].run_cost_s())
+        chosen = min(holders, key=lambda name: candidates[name].run_cost_s())
         return self._endpoints.record_by_id[chosen], None
 
     async def _request_place(
         self,
         call: Call,
         work: ModelWork,
-        view: EngineCandidate,
+        candidate: EngineCandidate,
         version: int,
         progress: Progress,
     ) -> GrantedPlace:
-        engine_id = view.engine_id
+        engine_id = candidate.engine_id
         now = self._now()
         ask_id = f"{call.facts.request_id}.{len(call.notes.get('asks', []))}"
         request = PlaceRequest(
@@ -191,7 +195,7 @@
             starts_within_s=self._starts_within_s(call, progress, now),
             pause_s=call.route.gap_s,
         )
-        self._engines.note_sent(view, request)
+        self._engines.note_sent(candidate, request)
         owner = self._engines.owner_name(engine_id)
         note: dict[str, Any] = {"engine": engine_id, "owner": owner}
         call.notes.setdefault("asks", []).append(note)
--- a/bamboovale/gateway/status_exchange.py
+++ b/bamboovale/gateway/status_exchange.py
@@ -21,7 +21,7 @@
         self._engines = engines
         self._links = links
         self._subscriptions = Subscriptions()
-        self._interest = Subscriber()
+        self._subscriber = Subscriber()
         engines.on_engine_needed = self.on_engine_needed
 
     # As an owner.
@@ -71,7 +71,7 @@
 
     def on_engine_needed(self) -> None:
         """Note that a request needs an engine; subscribe at once after an idle time."""
-        if self._interest.note_request(self._state.now()):
+        if self._subscriber.note_request(self._state.now()):
             self.subscribe_to_owners()
 
     def subscribe_to_owners(self) -> None:
@@ -82,10 +82,10 @@
         """
         now = self._state.now()
         owns_some = bool(self._engines.owner_by_engine)
-        if not owns_some and not self._interest.is_active(now):
+        if not owns_some and not self._subscriber.is_active(now):
             return
         others = self._state.fleet.owner_ids() - {self._state.node.name}
-        due = self._interest.due_renewals(others, now)
+        due = self._subscriber.due_renewals(others, now)
         if due:
             self._links.notify_all(due, StatusSubscription())
 
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -388,7 +388,7 @@
         fleet.on_statuses("a", [published], 1.0)
         engines = Engines("me", fleet, None, lambda: 1.0)  # type: ignore[arg-type]
         record = EndpointRecord("e", "llm", ("10.0.0.1", 1), "a", True, 8)
-        assert engines.views([record])["e"].snapshot == snapshot
+        assert engines.candidates([record])["e"].snapshot == snapshot
 
 
 class FakeStore:
