--- a/bamboovale/gateway/engines.py
+++ b/bamboovale/gateway/engines.py
@@ -1,4 +1,4 @@
-"""Views of the engines for this entry VM, and place requests to their owners."""
+"""Candidate engines for this entry VM, and place requests to their owners."""
 
 import asyncio
 import contextlib
--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -355,11 +355,11 @@
         assert fleet.is_live("a")
 
 
-class TestEngineViews:
-    """Views by which an entry VM chooses engines."""
+class TestEngineCandidates:
+    """The candidates from which an entry VM chooses an engine."""
 
     def test_a_status_arrives_whole(self) -> None:
-        """Guards against a field of the status that is not copied to the view."""
+        """Guards against a field of the status that is not copied to the candidate."""
         snapshot = EngineSnapshot(
             loaded={("base", "a1"): 2},
             coming={("base", "a2"): 1},
--- a/tests/test_gateway_stall_records.py
+++ b/tests/test_gateway_stall_records.py
@@ -126,17 +126,17 @@
     """The assumption of stalls with which a new owner starts."""
 
     def test_it_expires_if_no_stream_stalls(self) -> None:
-        evidence = StallDetector()
-        evidence.assume_stalled(5000.0)
-        assert evidence.is_stalled()
+        detector = StallDetector()
+        detector.assume_stalled(5000.0)
+        assert detector.is_stalled()
         for number in range(300):
-            evidence.on_stream(5000.0 + number * 0.1)
-        assert not evidence.is_stalled()
+            detector.on_stream(5000.0 + number * 0.1)
+        assert not detector.is_stalled()
 
     def test_it_does_not_expire_with_the_first_streams(self) -> None:
         """Guards against an assumption that expires at once on a process's clock."""
-        evidence = StallDetector()
-        evidence.assume_stalled(97_766.0)
+        detector = StallDetector()
+        detector.assume_stalled(97_766.0)
         for number in range(20):
-            evidence.on_stream(97_766.5 + number * 0.1)
-        assert evidence.is_stalled()
+            detector.on_stream(97_766.5 + number * 0.1)
+        assert detector.is_stalled()
