--- a/tests/test_gateway_parts.py
+++ b/tests/test_gateway_parts.py
@@ -355,11 +355,11 @@
         assert fleet.is_live("a")
 
 
-class TestEngineViews:
-    """Views by which an entry VM chooses engines."""
+class TestEngineCandidates:
+    """The candidates from which an entry VM chooses an engine."""
 
     def test_a_status_arrives_whole(self) -> None:
-        """Guards against a field of the status that is not copied to the view."""
+        """Guards against a field of the status that is not copied to the candidate."""
         snapshot = EngineSnapshot(
             loaded={("base", "a1"): 2},
             coming={("base", "a2"): 1},
@@ -388,7 +388,7 @@
         fleet.on_statuses("a", [published], 1.0)
         engines = Engines("me", fleet, None, lambda: 1.0)  # type: ignore[arg-type]
         record = EndpointRecord("e", "llm", ("10.0.0.1", 1), "a", True, 8)
-        assert engines.views([record])["e"].snapshot == snapshot
+        assert engines.candidates([record])["e"].snapshot == snapshot
 
 
 class FakeStore:
