--- a/bamboovale/fleet/membership.py
+++ b/bamboovale/fleet/membership.py
@@ -141,7 +141,7 @@
 
     # Records and suspicions received.
 
-    def on_contact(self, vm_id: str, address: tuple[str, int], now: float) -> bool:
+    def add_contact(self, vm_id: str, address: tuple[str, int], now: float) -> bool:
         """Add a registered VM by its address; False if it is known."""
         is_known = vm_id in self._known_by_id or vm_id in self._contact_by_id
         if vm_id == self.own.vm_id or is_known or self._is_full():
--- a/tests/fleet_play.py
+++ b/tests/fleet_play.py
@@ -90,7 +90,7 @@
         vm = SimulatedVM(vm_id, membership, exchange, topic)
         self.vm_by_id[vm_id] = vm
         for contact in contacts:
-            membership.on_contact(contact, (contact, 1), self.now)
+            membership.add_contact(contact, (contact, 1), self.now)
         starts_at = self.now + self.rng.uniform(0.0, within_s)
         self.at(starts_at, lambda: self._run_vm(vm))
         return vm
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -211,7 +211,7 @@
         view = membership()
         for number in range(MAX_MEMBERS + 100):
             view.apply(member(f"vm{number}"), 0.0)
-            view.on_contact(f"contact{number}", ("10.0.0.1", 1), 0.0)
+            view.add_contact(f"contact{number}", ("10.0.0.1", 1), 0.0)
         assert len(view.live()) + len(view.not_live()) <= MAX_MEMBERS
 
     def test_a_vm_removed_long_ago_is_dropped(self) -> None:
