--- a/bamboovale/gateway/registration.py
+++ b/bamboovale/gateway/registration.py
@@ -75,7 +75,7 @@
             self._state.journal.write("bad_record", key=record.key, error=str(error))
             return False
         membership = self._state.fleet.membership
-        return membership.on_contact(record.key, address, self._state.now())
+        return membership.add_contact(record.key, address, self._state.now())
 
     def _pause_s(self) -> float:
         size = self._state.fleet.expected_size()
