--- a/bamboovale/fleet/gossip.py
+++ b/bamboovale/fleet/gossip.py
@@ -128,8 +128,8 @@
     def spread_s(self) -> float:
         """Return the time in which an update reaches every live VM."""
         size = max(1.0, len(self._membership.rings) / FULL_MESH_MAX_VMS)
-        steps = 1 + math.ceil(math.log(size, FANOUT))
-        return SLACK_S + MIN_SEND_INTERVAL_S * steps
+        hops = 1 + math.ceil(math.log(size, FANOUT))
+        return SLACK_S + MIN_SEND_INTERVAL_S * hops
 
     def next_at(self, now: float) -> float:
         """Return when ``due`` is to be called next."""
--- a/tests/test_peer_links.py
+++ b/tests/test_peer_links.py
@@ -83,7 +83,7 @@
     ) -> None:
         self.requests.append((sender, query))
         if query.text == "fail":
-            raise RuntimeError("asked to")
+            raise RuntimeError("requested by the test")
         if query.text == "late":
             threading.Timer(0.1, reply, [Answer("late")]).start()
         elif query.text != "ignore":
@@ -96,7 +96,7 @@
         self.links.start(self.on_request, self.on_notice)
         return self
 
-    def ask(self, vm_id: str, text: str, timeout_s: float = 5.0) -> Any:
+    def request(self, vm_id: str, text: str, timeout_s: float = 5.0) -> Any:
         return self.links.request(vm_id, Query(text), timeout_s).result(10)
 
     def count(self, name: str) -> float:
@@ -225,8 +225,8 @@
 
     def test_a_request_gets_its_reply_and_carries_its_sender(self, pair) -> None:
         a, b = pair
-        assert a.ask("b", "x") == Answer("xx")
-        assert b.ask("a", "y") == Answer("yy")
+        assert a.request("b", "x") == Answer("xx")
+        assert b.request("a", "y") == Answer("yy")
         assert b.requests == [("a", Query("x"))]
 
     def test_replies_from_other_threads_reach_the_right_request(self, pair) -> None:
@@ -240,23 +240,23 @@
     def test_a_notice_arrives_once(self, pair) -> None:
         a, b = pair
         a.links.notify("b", Query("first"))
-        a.links.notify_all(["nobody", "b"], Query("second"))
+        a.links.notify_all(["unknown", "b"], Query("second"))
         expected = [("a", Query("first")), ("a", Query("second"))]
         eventually(lambda: b.notices == expected)
 
     def test_an_exception_of_a_handler_is_reported_at_once(self, pair) -> None:
         a, _ = pair
         with pytest.raises(PeerLostError, match="RuntimeError"):
-            a.ask("b", "fail")
-        assert a.ask("b", "x") == Answer("xx")
+            a.request("b", "fail")
+        assert a.request("b", "x") == Answer("xx")
 
     def test_a_large_message_arrives(self, pair) -> None:
         a, _ = pair
-        assert len(a.ask("b", "x" * 1_000_000).text) == 2_000_000
+        assert len(a.request("b", "x" * 1_000_000).text) == 2_000_000
 
     def test_link_states(self, pair) -> None:
         a, b = pair
-        a.ask("b", "x")
+        a.request("b", "x")
         assert a.links.link_states()["b"].outgoing == "open"
         assert b.links.link_states()["a"].incoming == 1
 
@@ -266,7 +266,7 @@
 
     def test_an_unknown_peer(self, pair) -> None:
         with pytest.raises(PeerUnreachableError, match="not known"):
-            pair[0].ask("nobody", "x")
+            pair[0].request("unknown", "x")
 
     def test_a_peer_that_does_not_listen_fails_fast(self, ports) -> None:
         a = Node("a", ports)
@@ -274,7 +274,7 @@
             for _ in range(2):  # the second attempt is during back-off
                 started_at = time.monotonic()
                 with pytest.raises(PeerUnreachableError):
-                    a.ask("b", "x")
+                    a.request("b", "x")
                 assert time.monotonic() - started_at < 1
 
     def test_a_peer_that_connects_to_us_ends_its_back_off(self, ports) -> None:
@@ -284,18 +284,18 @@
             link = None
             while link is None or link.back_off_s < 0.4:
                 with contextlib.suppress(PeerUnreachableError):
-                    a.ask("b", "x")
+                    a.request("b", "x")
                 link = a.links._link_by_vm_id["b"]
                 time.sleep(0.01)
             with running(b):
-                assert b.ask("a", "x") == Answer("xx")
-                assert a.ask("b", "x") == Answer("xx")
+                assert b.request("a", "x") == Answer("xx")
+                assert a.request("b", "x") == Answer("xx")
 
     def test_stopped_links(self, pair) -> None:
         a, _ = pair
         a.links.stop()
         with pytest.raises(PeerUnreachableError):
-            a.ask("b", "x")
+            a.request("b", "x")
 
     def test_a_port_in_use_is_reported_at_start(self, pair, ports) -> None:
         with pytest.raises(OSError):
@@ -310,7 +310,7 @@
         with running(a, b):
             for near, far in ((a, "b"), (b, "a")):
                 with pytest.raises(PeerUnreachableError):
-                    near.ask(far, "x")
+                    near.request(far, "x")
             assert a.requests == b.requests == []
 
     def test_another_vm_at_the_address_is_refused(self, ports) -> None:
@@ -319,14 +319,14 @@
         a = Node("a", ports | {"gone": ports["b"]})
         with running(a, b):
             with pytest.raises(PeerUnreachableError):
-                a.ask("gone", "x")
+                a.request("gone", "x")
             assert b.requests == []
 
     def test_without_a_key_only_loopback_is_allowed(self, ports) -> None:
         a = Node("a", ports, key="")
         a.links._authenticator._address_of = lambda vm_id: ("192.0.2.1", 9)
         with running(a), pytest.raises(PeerUnreachableError, match="loopback"):
-            a.ask("b", "x")
+            a.request("b", "x")
 
     def test_a_reflected_proof_is_refused(self, pair, ports) -> None:
         """A client without the key sends the proof of the other side back."""
@@ -346,7 +346,7 @@
 
     def test_garbage_closes_its_own_connection_only(self, pair, ports) -> None:
         a, b = pair
-        assert a.ask("b", "x") == Answer("xx")
+        assert a.request("b", "x") == Answer("xx")
         with connect(f"ws://127.0.0.1:{ports['b']}/", compression=None) as client:
             client.send(b"\xff garbage")
             with pytest.raises(ConnectionClosed):
@@ -358,7 +358,7 @@
                 while raw.recv(1000):
                     pass
         eventually(lambda: b.count("peer_bad_messages_total") == 1)
-        assert a.ask("b", "x") == Answer("xx")
+        assert a.request("b", "x") == Answer("xx")
 
     def test_a_silent_client_is_disconnected(self, pair, ports) -> None:
         started_at = time.monotonic()
@@ -384,14 +384,14 @@
 
     def test_a_restarted_peer_is_reachable_again(self, pair, ports) -> None:
         a, b = pair
-        assert a.ask("b", "x") == Answer("xx")
+        assert a.request("b", "x") == Answer("xx")
         b.links.stop()
         again = Node("b", ports)
         with running(again):
 
             def reached() -> bool:
                 with contextlib.suppress(PeerUnreachableError, PeerLostError):
-                    return a.ask("b", "x") == Answer("xx")
+                    return a.request("b", "x") == Answer("xx")
                 return False
 
             eventually(reached)
@@ -405,18 +405,18 @@
         # Shortens the wait for the rare pings of an idle link.
         monkeypatch.setattr(incoming, "INCOMING_SILENCE_S", 1.5)
         a, b, relay = relayed
-        assert a.ask("b", "x") == Answer("xx")
+        assert a.request("b", "x") == Answer("xx")
         setattr(relay, direction, True)
         started_at = time.monotonic()
         with pytest.raises(PeerLostError):
-            a.ask("b", "ignore", timeout_s=30)
+            a.request("b", "ignore", timeout_s=30)
         assert time.monotonic() - started_at < SILENCE_DETECTED_WITHIN_S
         eventually(lambda: b.links.link_states().get("a") is None)
 
     def test_a_timeout_means_that_the_request_may_have_arrived(self, pair) -> None:
         a, b = pair
         with pytest.raises(PeerTimeoutError):
-            a.ask("b", "ignore", timeout_s=0.2)
+            a.request("b", "ignore", timeout_s=0.2)
         assert b.requests == [("a", Query("ignore"))]
 
     def test_a_slow_reader_does_not_block_callers_or_grow_the_queue(
@@ -428,7 +428,7 @@
         not sent, and the link is aborted.
         """
         a, _, relay = relayed
-        assert a.ask("b", "x") == Answer("xx")
+        assert a.request("b", "x") == Answer("xx")
         relay.paused = True
         started_at = time.monotonic()
         futures = [
