--- a/bamboovale/fleet/neighbours.py
+++ b/bamboovale/fleet/neighbours.py
@@ -95,7 +95,7 @@
         self._checked_at = now
 
     def interval_s(self) -> float:
-        """Return the time between two signs of life."""
+        """Return the heartbeat interval."""
         is_small = len(self._membership.rings) <= FULL_MESH_MAX_VMS
         return SMALL_INTERVAL_S if is_small else INTERVAL_S
 
--- a/bamboovale/peers/codec.py
+++ b/bamboovale/peers/codec.py
@@ -171,7 +171,7 @@
 
     def check(value: Any) -> Any:
         if isinstance(value, dict):
-            return {_text(key): check(member) for key, member in value.items()}
+            return {_checked_str(key): check(member) for key, member in value.items()}
         if isinstance(value, list | tuple):
             return [check(member) for member in value]
         if value is None or type(value) in (str, bool, int, float):
@@ -181,7 +181,7 @@
     return check, check
 
 
-def _text(value: Any) -> str:
+def _checked_str(value: Any) -> str:
     if type(value) is not str:
         raise BadMessageError("keys of a plain map must be str")
     return value
@@ -206,27 +206,29 @@
     if len(arguments) == 2 and arguments[1] is Ellipsis:
         encode_member, decode_member = _coders_of(arguments[0])
         return (
-            lambda value: [encode_member(member) for member in _items(value)],
-            lambda value: tuple([decode_member(member) for member in _items(value)]),
+            lambda value: [encode_member(member) for member in _checked_array(value)],
+            lambda value: tuple(
+                [decode_member(member) for member in _checked_array(value)]
+            ),
         )
     coders = [_coders_of(argument) for argument in arguments]
 
     def write(value: Any) -> list[Any]:
-        return [pair[0](member) for pair, member in _zip(coders, value)]
+        return [pair[0](member) for pair, member in _zip_strict(coders, value)]
 
     def read(value: Any) -> tuple[Any, ...]:
-        return tuple([pair[1](member) for pair, member in _zip(coders, value)])
+        return tuple([pair[1](member) for pair, member in _zip_strict(coders, value)])
 
     return write, read
 
 
-def _zip(coders: list[tuple[Coder, Coder]], value: Any) -> Any:
-    if len(_items(value)) != len(coders):
+def _zip_strict(coders: list[tuple[Coder, Coder]], value: Any) -> Any:
+    if len(_checked_array(value)) != len(coders):
         raise BadMessageError(f"{len(coders)} members expected")
     return zip(coders, value, strict=True)
 
 
-def _items(value: Any) -> Any:
+def _checked_array(value: Any) -> Any:
     if not isinstance(value, list | tuple):
         raise BadMessageError(f"array expected, not {type(value).__name__}")
     return value
@@ -236,7 +238,7 @@
     write, read = _coders_of(member)
     return (
         lambda value: sorted(write(item) for item in value),
-        lambda value: frozenset([read(item) for item in _items(value)]),
+        lambda value: frozenset([read(item) for item in _checked_array(value)]),
     )
 
 
@@ -341,7 +343,7 @@
         return [pair[0](m) for pair, m in zip(coders, members, strict=False)]
 
     def read(value: Any) -> Any:
-        if not required <= len(_items(value)) <= len(coders):
+        if not required <= len(_checked_array(value)) <= len(coders):
             raise BadMessageError(f"{len(coders)} fields of {cls.__name__} expected")
         members = [pair[1](m) for pair, m in zip(coders, value, strict=False)]
         try:
--- a/bamboovale/peers/messages.py
+++ b/bamboovale/peers/messages.py
@@ -109,7 +109,7 @@
 @message("records")
 @dataclass(frozen=True)
 class RecordsNotice:
-    """Log records forwarded to peers whose own reads of the log are slow."""
+    """Log records forwarded to peers, so that slow reads of the log delay no VM."""
 
     stream: str
     first_offset: int
