--- a/bamboovale/platform/endpoints.py
+++ b/bamboovale/platform/endpoints.py
@@ -60,7 +60,7 @@
 class _ReportEntry:
     """An engine's report; a row of ``runs`` starts with the request id.
 
-    ``seq`` counts the orders that the engine has executed.
+    ``seq`` counts the orders that the engine has accepted.
     """
 
     models: tuple[_ModelEntry, ...] = ()
