--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -25,8 +25,8 @@
     Subscriptions,
 )
 from bamboovale.fleet.topic_changes import MAX_ROWS, TopicChanges
-from tests import fleet_play
-from tests.fleet_play import SimulatedFleet, SimulatedVM
+from tests import fleet_simulation
+from tests.fleet_simulation import SimulatedFleet, SimulatedVM
 
 DETECTION_S = 2.5
 SPREAD_S = 1.0
@@ -313,7 +313,7 @@
         VMs that do not read the store would not detect its outage, and drop endpoints
         whose records expire in it.
         """
-        monkeypatch.setattr(fleet_play, "DELAY_S", delay_s)
+        monkeypatch.setattr(fleet_simulation, "DELAY_S", delay_s)
         fleet = started(61)
         for _ in range(10):
             fleet.vm_by_id["vm1"].exchange.note_store_answer(fleet.now)
@@ -463,7 +463,7 @@
         for name in names:
             fleet.kill(name)
         for name in names:
-            fleet.start(name, names, 2, fleet_play.START_SPREAD_S)
+            fleet.start(name, names, 2, fleet_simulation.START_SPREAD_S)
         sent = sum(fleet.sent_by_id.values())
         fleet.run_until(lambda: fleet.agree(names), SPREAD_S)
         assert sum(fleet.sent_by_id.values()) - sent <= 60 * count
