--- a/bamboovale/entry/attempts.py
+++ b/bamboovale/entry/attempts.py
@@ -29,7 +29,8 @@
     ``excluded`` are the engines that are not tried again in this round.
     ``load_refusal`` is the refusal of an engine that cannot load the adapter now.
     ``holder_missing`` is set if some engine's lease holder did not answer in this
-    round. ``unstarted_runs`` counts permits whose run did not start.
+    round. ``unstarted_runs`` counts permits whose run did not start. ``exclusive``
+    requests an engine without other runs, since the request is a crash suspect.
     """
 
     request: CallerRequest
--- a/bamboovale/entry/engine_holders.py
+++ b/bamboovale/entry/engine_holders.py
@@ -47,7 +47,7 @@
 
     fencing: int
     valid: Callable[[], bool]
-    links: HolderCallbacks
+    callbacks: HolderCallbacks
 
 
 class EngineHolders:
@@ -79,7 +79,7 @@
         engine_id: str,
         fencing: int,
         valid: Callable[[], bool],
-        links: HolderCallbacks,
+        callbacks: HolderCallbacks,
     ) -> None:
         """Start the holder of an engine, or defer it until its pool is known."""
         vm = self._views.membership.vm_by_id.get(engine_id)
@@ -93,7 +93,7 @@
                 self._end(previous)
             self._lease_by_engine_without_pool.pop(engine_id, None)
             if self._awaits_pool(vm.pool):
-                held = HeldLease(fencing, valid, links)
+                held = HeldLease(fencing, valid, callbacks)
                 self._lease_by_engine_without_pool[engine_id] = held
                 return
             holder = EngineHolder.start(
@@ -108,24 +108,24 @@
                     fencing,
                     valid,
                 ),
-                load_grants=links.load_grants,
-                on_hint=links.on_hint,
+                load_grants=callbacks.load_grants,
+                on_hint=callbacks.on_hint,
                 log_is_down=lambda: self._views.log_down_for_all,
             )
             self._holder_by_engine[engine_id] = holder
         self._ticker.add(holder)
         if self._views.membership.is_leaving(engine_id):
             tell(holder, EngineLeaving())
-        links.on_started(engine_id)
+        callbacks.on_started(engine_id)
 
-    def stop(self, engine_id: str, links: HolderCallbacks) -> None:
+    def stop(self, engine_id: str, callbacks: HolderCallbacks) -> None:
         """Stop the holder of an engine; its queued requests try another engine."""
         with self._lock:
             self._lease_by_engine_without_pool.pop(engine_id, None)
             holder = self._holder_by_engine.pop(engine_id, None)
         if holder is not None:
             self._end(holder)
-            links.on_stopped(engine_id)
+            callbacks.on_stopped(engine_id)
 
     def stop_all(self) -> None:
         """Stop every holder."""
@@ -151,7 +151,7 @@
             with self._lock:
                 held = self._lease_by_engine_without_pool.get(engine_id)
                 if held is not None:
-                    self.start(engine_id, held.fencing, held.valid, held.links)
+                    self.start(engine_id, held.fencing, held.valid, held.callbacks)
 
     def on_entry_vm_gone(self, vm_id: str) -> None:
         """Notify all holders that an entry VM is unreachable."""
--- a/bamboovale/entry/holder_router.py
+++ b/bamboovale/entry/holder_router.py
@@ -22,7 +22,7 @@
 
 
 class HolderRouter:
-    """Implements :class:`~bamboovale.entry.permits.HolderTransport` over links."""
+    """Implements :class:`~bamboovale.entry.permits.HolderTransport` over peer links."""
 
     def __init__(
         self,
--- a/bamboovale/entry/model_requests.py
+++ b/bamboovale/entry/model_requests.py
@@ -43,7 +43,7 @@
 from bamboovale.views import Views
 
 MAX_SEARCH_S = 5.0
-"""How long to look for an engine while leases move after a holder was lost."""
+"""How long to search for an engine while leases move to other holders."""
 
 SEARCH_PAUSE_S = 0.1
 """Pause between two rounds over all engines."""
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -108,8 +108,8 @@
         reply(PermitsHeld(query.engine_id, held))
 
     def _on_catalogue_query(self, _: str, __: CatalogueQuery, reply: Reply) -> None:
-        asked = SnapshotRequested(lambda snapshot: reply(CatalogueAnswer(snapshot)))
-        tell(self._targets.catalogue, asked)
+        query = SnapshotRequested(lambda snapshot: reply(CatalogueAnswer(snapshot)))
+        tell(self._targets.catalogue, query)
 
     def _on_revision_query(self, _: str, __: RevisionQuery, reply: Reply) -> None:
         catalogue = self._views.catalogue
--- a/bamboovale/entry/permits.py
+++ b/bamboovale/entry/permits.py
@@ -107,9 +107,9 @@
 class PermitClient:
     """Acquires and releases permits and tracks those in use."""
 
-    def __init__(self, environment: Environment, links: HolderTransport) -> None:
+    def __init__(self, environment: Environment, transport: HolderTransport) -> None:
         self._environment = environment
-        self._links = links
+        self._transport = transport
         self._held_by_id: dict[str, HeldPermit] = {}
         self._lock = threading.Lock()
 
@@ -121,10 +121,10 @@
         is_current: Callable[[], bool],
     ) -> AcquireResult:
         """Wait for a permit on the engine while ``is_current()`` returns true."""
-        holder = self._links.holder_of(engine_id)
+        holder = self._transport.holder_of(engine_id)
         if holder is None:
             return TryAnotherEngine("the engine has no lease holder", retry_after_s=1.0)
-        wait = _PermitWait(self._environment, self._links, item, engine_id, holder)
+        wait = _PermitWait(self._environment, self._transport, item, engine_id, holder)
         return wait.run(disconnect, is_current, self._keep)
 
     def release(self, held: HeldPermit, *, refused: bool = False) -> None:
@@ -138,7 +138,7 @@
             known = self._held_by_id.pop(permit.permit_id, None)
         if known is not None:
             message = PermitRelease(permit.engine_id, permit.permit_id, refused)
-            self._links.notify(held.holder, message)
+            self._transport.notify(held.holder, message)
 
     def may_still_send(self, held: HeldPermit) -> bool:
         """Return whether the permit is not expired; called right before sending."""
@@ -171,14 +171,14 @@
     def __init__(
         self,
         environment: Environment,
-        links: HolderTransport,
+        transport: HolderTransport,
         item: WorkItem,
         engine_id: str,
         holder: str,
     ) -> None:
         self._now = environment.now
         self._repeat_s = environment.settings.send_within_s / REQUESTS_PER_SEND_WINDOW
-        self._links = links
+        self._transport = transport
         self._item = item
         self._engine_id = engine_id
         self._holder = holder
@@ -211,7 +211,7 @@
 
     def _send_request(self) -> "Future[Any]":
         left_s = max(0.0, self._item.latest_start - self._now())
-        return self._links.request_permit(
+        return self._transport.request_permit(
             self._holder,
             self._message(left_s),
             left_s + 2 * GRACE_S,
@@ -248,10 +248,10 @@
                 not_run=True,
                 retry_after_s=1.0,
             )
-        if self._links.holder_of(self._engine_id) != self._holder:
+        if self._transport.holder_of(self._engine_id) != self._holder:
             return TryAnotherEngine("the lease on the engine has moved", 0.0)
         left_s = max(0.0, self._item.latest_start - now)
-        self._links.notify(self._holder, self._message(left_s))
+        self._transport.notify(self._holder, self._message(left_s))
         return None
 
     def _result_of(
@@ -267,7 +267,7 @@
         if reply.permit is None:
             return _refusal(reply)
         held = self._held(reply.permit)
-        if self._links.fencing_of(self._engine_id) > reply.permit.fencing:
+        if self._transport.fencing_of(self._engine_id) > reply.permit.fencing:
             # Granted by a holder that does not know yet that it lost the lease: the
             # new one does not know this permit and may evict the adapter.
             self._cancel()
@@ -285,7 +285,7 @@
         return HeldPermit(permit, self._holder, sent_at + permit.send_within_s)
 
     def _cancel(self) -> None:
-        self._links.notify(
+        self._transport.notify(
             self._holder,
             PermitCancel(self._engine_id, self._item.request_id),
         )
@@ -300,7 +300,7 @@
             permit = done.result().permit
             if permit is not None:
                 release = PermitRelease(permit.engine_id, permit.permit_id)
-                self._links.notify(self._holder, release)
+                self._transport.notify(self._holder, release)
 
         future.add_done_callback(return_late_permit)
 
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -134,7 +134,7 @@
         self._load_grant_router = LoadGrantRouter(
             settings.id, self._links, self._holders
         )
-        self._holder_links = HolderCallbacks(
+        self._holder_callbacks = HolderCallbacks(
             load_grants=self._load_grant_router,
             on_hint=lambda hint: tell(self._membership, HintUpdated(hint)),
             on_started=self._request_permits_held,
@@ -396,14 +396,14 @@
             tell(self._load_grants, SchedulerLeaseChanged(fencing, valid))
             tell(self._catalogue, SnapshotRoleChanged(is_writer=True))
             return
-        self._holders.start(engine_id, fencing, valid, self._holder_links)
+        self._holders.start(engine_id, fencing, valid, self._holder_callbacks)
 
     def _on_lost(self, engine_id: str) -> None:
         if engine_id == WEIGHT_STORE:
             tell(self._load_grants, SchedulerLeaseChanged(None, lambda: False))
             tell(self._catalogue, SnapshotRoleChanged(is_writer=False))
             return
-        self._holders.stop(engine_id, self._holder_links)
+        self._holders.stop(engine_id, self._holder_callbacks)
 
     def _request_permits_held(self, engine_id: str) -> None:
         holder = self._holders.find(engine_id)
--- a/tests/test_entry_engine_holders.py
+++ b/tests/test_entry_engine_holders.py
@@ -34,7 +34,7 @@
     def __init__(self) -> None:
         self.views = Views(membership=Membership([ENGINE]))
         self.started: list[str] = []
-        self.links = HolderCallbacks(
+        self.callbacks = HolderCallbacks(
             load_grants=SimpleNamespace(),
             on_hint=lambda hint: None,
             on_started=self.started.append,
@@ -54,7 +54,7 @@
         self.holders.on_membership()
 
     def start_holder(self) -> None:
-        self.holders.start("g1", 5, lambda: True, self.links)
+        self.holders.start("g1", 5, lambda: True, self.callbacks)
 
 
 @pytest.fixture
@@ -86,7 +86,7 @@
     ) -> None:
         deployment.set_pools()
         deployment.start_holder()
-        deployment.holders.stop("g1", deployment.links)
+        deployment.holders.stop("g1", deployment.callbacks)
         deployment.set_pools(POOL)
         assert deployment.holders.find("g1") is None
 
--- a/tests/test_entry_permits.py
+++ b/tests/test_entry_permits.py
@@ -39,7 +39,7 @@
 
 
 @dataclass
-class FakeLinks:
+class FakeTransport:
     """A fake transport to a lease holder."""
 
     holder: str | None = "e2"
@@ -93,8 +93,8 @@
             logging.getLogger("test"),
             now=self.clock,
         )
-        self.links = FakeLinks()
-        self.client = PermitClient(environment, self.links)
+        self.transport = FakeTransport()
+        self.client = PermitClient(environment, self.transport)
         self.disconnect = DisconnectSignal()
         self.is_current = True
         self.item = WorkItem(
@@ -117,7 +117,7 @@
         done: Future[Any] = Future()
         thread = threading.Thread(target=lambda: done.set_result(self.acquire()))
         thread.start()
-        assert self.links.requested.wait(2.0)
+        assert self.transport.requested.wait(2.0)
         return done
 
 
@@ -126,7 +126,7 @@
 
     def test_a_permit(self) -> None:
         waiter = Waiter()
-        waiter.links.future.set_result(PermitReply("r.1", permit=permit()))
+        waiter.transport.future.set_result(PermitReply("r.1", permit=permit()))
         held = waiter.acquire()
         assert isinstance(held, HeldPermit)
         assert waiter.client.permits_on("g1") == (held.permit,)
@@ -134,33 +134,33 @@
     def test_a_refusal(self) -> None:
         waiter = Waiter()
         reply = PermitReply("r.1", code=ErrorCode.OVERLOADED, retry_after_s=2.0)
-        waiter.links.future.set_result(reply)
+        waiter.transport.future.set_result(reply)
         refusal = waiter.acquire()
         assert isinstance(refusal, Refusal)
         assert (refusal.not_run, refusal.retry_after_s) == (True, 2.0)
 
     def test_no_holder(self) -> None:
         waiter = Waiter()
-        waiter.links.holder = None
+        waiter.transport.holder = None
         assert isinstance(waiter.acquire(), TryAnotherEngine)
 
     def test_a_lost_link_cancels_the_request(self) -> None:
         waiter = Waiter()
-        waiter.links.future.set_exception(ConnectionError("lost"))
+        waiter.transport.future.set_exception(ConnectionError("lost"))
         assert isinstance(waiter.acquire(), TryAnotherEngine)
-        assert waiter.links.sent_of(PermitCancel)
+        assert waiter.transport.sent_of(PermitCancel)
 
     def test_a_disconnect(self) -> None:
         waiter = Waiter()
         done = waiter.acquire_later()
         waiter.disconnect.trigger()
         assert isinstance(done.result(2.0), CallerDisconnected)
-        assert waiter.links.sent_of(PermitCancel)
+        assert waiter.transport.sent_of(PermitCancel)
 
     def test_a_lease_that_moves(self) -> None:
         waiter = Waiter()
         done = waiter.acquire_later()
-        waiter.links.holder = "e3"
+        waiter.transport.holder = "e3"
         assert isinstance(done.result(2.0), TryAnotherEngine)
 
     def test_a_catalogue_that_names_another_version(self) -> None:
@@ -189,8 +189,8 @@
         done = waiter.acquire_later()
         waiter.disconnect.trigger()
         done.result(2.0)
-        waiter.links.future.set_result(PermitReply("r.1", permit=permit()))
-        released = waiter.links.sent_of(PermitRelease)
+        waiter.transport.future.set_result(PermitReply("r.1", permit=permit()))
+        released = waiter.transport.sent_of(PermitRelease)
         assert [message.permit_id for message in released] == ["p1"]
         assert waiter.client.held_count() == 0
 
@@ -204,7 +204,7 @@
 
     def test_send_by_counts_from_the_request(self) -> None:
         waiter = Waiter()
-        waiter.links.future.set_result(PermitReply("r.1", permit=permit()))
+        waiter.transport.future.set_result(PermitReply("r.1", permit=permit()))
         held = waiter.acquire()
         assert waiter.client.may_still_send(held)
         waiter.clock.time += 1.1
@@ -213,7 +213,7 @@
     def test_a_permit_for_an_unknown_request_is_expired(self) -> None:
         waiter = Waiter()
         reply = PermitReply("r.1", permit=permit(ask_number=7))
-        waiter.links.future.set_result(reply)
+        waiter.transport.future.set_result(reply)
         assert not waiter.client.may_still_send(waiter.acquire())
 
 
@@ -226,7 +226,7 @@
 
     def test_an_older_fencing_number_is_refused(self) -> None:
         waiter = Waiter()
-        waiter.links.fencing = 6
-        waiter.links.future.set_result(PermitReply("r.1", permit=permit(fencing=5)))
+        waiter.transport.fencing = 6
+        waiter.transport.future.set_result(PermitReply("r.1", permit=permit(fencing=5)))
         assert isinstance(waiter.acquire(), TryAnotherEngine)
         assert waiter.client.held_count() == 0
