--- a/bamboovale/engines/load_grants.py
+++ b/bamboovale/engines/load_grants.py
@@ -67,10 +67,10 @@
         )
         self._scheduler: LoadScheduler | None = None
         self._scheduler_name = ""
-        self._valid: Callable[[], bool] = lambda: False
+        self._lease_valid: Callable[[], bool] = lambda: False
         self._vm_by_engine: dict[str, str] = {}
-        self._share = LoadScheduler.static_share(self._config, 1)
-        self._share_of = 1
+        self._static_share = LoadScheduler.static_share(self._config, 1)
+        self._static_share_of = 1
         self.handle(LoadRequestReceived, self._on_request)
         self.handle(LoadReleaseReceived, self._on_release)
         self.handle(SchedulerLeaseChanged, self._on_lease)
@@ -80,7 +80,7 @@
     def _on_lease(self, message: SchedulerLeaseChanged) -> None:
         self._scheduler = None
         self._vm_by_engine.clear()
-        self._valid = message.valid
+        self._lease_valid = message.valid
         if message.fencing is not None:
             self._scheduler = LoadScheduler.from_config(self._config)
             self._scheduler_name = f"{self._own_id}:{message.fencing}"
@@ -88,7 +88,7 @@
     def _on_request(self, message: LoadRequestReceived) -> None:
         request = message.request
         now = self._environment.now()
-        if self._scheduler is not None and self._valid():
+        if self._scheduler is not None and self._lease_valid():
             key = (request.engine_id, request.lora_name, request.weight)
             grants = self._scheduler.on_request(*key, now)
             self._vm_by_engine[request.engine_id] = message.from_vm
@@ -102,10 +102,12 @@
         if scheduler in usable and scheduler != self._own_id:
             self._send(scheduler, request)
             return
-        if len(usable) != self._share_of:
-            self._share_of = len(usable)
-            self._share = LoadScheduler.static_share(self._config, self._share_of)
-        grants = self._share.on_request(
+        if len(usable) != self._static_share_of:
+            self._static_share_of = len(usable)
+            self._static_share = LoadScheduler.static_share(
+                self._config, self._static_share_of
+            )
+        grants = self._static_share.on_request(
             request.engine_id, request.lora_name, request.weight, now
         )
         self._deliver_share(grants)
@@ -113,19 +115,19 @@
     def _on_release(self, message: LoadReleaseReceived) -> None:
         release = message.release
         now = self._environment.now()
-        if release.scheduler == self._share_name:
-            self._deliver_share(_end(self._share, release, now))
+        if release.scheduler == self._static_share_name:
+            self._deliver_share(_apply_release(self._static_share, release, now))
         elif release.scheduler == self._scheduler_name and self._scheduler is not None:
-            self._deliver(_end(self._scheduler, release, now))
+            self._deliver(_apply_release(self._scheduler, release, now))
 
     def _on_tick(self, _: Tick) -> None:
         now = self._environment.now()
-        if self._scheduler is not None and self._valid():
+        if self._scheduler is not None and self._lease_valid():
             self._deliver(self._scheduler.on_tick(now))
-        self._deliver_share(self._share.on_tick(now))
+        self._deliver_share(self._static_share.on_tick(now))
 
     @property
-    def _share_name(self) -> str:
+    def _static_share_name(self) -> str:
         return f"{self._own_id}:share"
 
     def _deliver(self, grants: list[LoadGrant]) -> None:
@@ -148,7 +150,7 @@
                 LoadGrantReply(
                     grant.engine_id,
                     grant.lora_name,
-                    self._share_name,
+                    self._static_share_name,
                     grant.number,
                 )
             )
@@ -159,11 +161,11 @@
             "is_scheduler": scheduler is not None,
             "asks": 0 if scheduler is None else scheduler.pending,
             "turns": 0 if scheduler is None else len(scheduler.grant_by_number),
-            "static_share_of": self._share_of,
+            "static_share_of": self._static_share_of,
         }
 
 
-def _end(
+def _apply_release(
     scheduler: LoadScheduler, release: LoadGrantRelease, now: float
 ) -> list[LoadGrant]:
     if release.used:
--- a/bamboovale/entry/crash_reporter.py
+++ b/bamboovale/entry/crash_reporter.py
@@ -30,13 +30,13 @@
         environment: Environment,
         views: Views,
         decisions: DecisionFacade,
-        engines: EngineClient,
+        engine_client: EngineClient,
         publish: Callable[[CrashNotice], None],
     ) -> None:
         self._environment = environment
         self._views = views
         self._decisions = decisions
-        self._engines = engines
+        self._engine_client = engine_client
         self._publish = publish
 
     def report(self, permit: Permit, fingerprint: str, *, alone: bool) -> bool:
@@ -87,5 +87,5 @@
         address = self._views.membership.address_of(engine_id, "http")
         if address is None:
             return None
-        state = self._engines.read_state(EngineAddress(engine_id, *address))
+        state = self._engine_client.read_state(EngineAddress(engine_id, *address))
         return state.ok_value.boot_id if isinstance(state, Ok) else None
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -109,7 +109,7 @@
             environment.metrics,
         )
         self._ticker = Ticker()
-        self._engines = VllmEngineClient(self._http)
+        self._engine_client = VllmEngineClient(self._http)
         self._connections = EndpointConnections(settings.address)
         self._disconnects = DisconnectWatcher()
         self._answers = AnswerStore()
@@ -122,7 +122,7 @@
             environment,
             self.views,
             self._policy,
-            self._engines,
+            self._engine_client,
             self._ticker,
         )
         self._peer_client = PeerClient(
@@ -221,7 +221,7 @@
             environment,
             self.views,
             self.decisions,
-            self._engines,
+            self._engine_client,
             self._publish_crash,
         )
         self._caller_app = build_caller_app(
