--- a/bamboovale/entry/caller_app.py
+++ b/bamboovale/entry/caller_app.py
@@ -38,7 +38,7 @@
         self._views = views
         self._models = models
         self._services = services
-        self.closed = False
+        self.stopping = False
         self._running = 0
         self._lock = threading.Lock()
 
@@ -113,7 +113,7 @@
 
     def _not_serving(self, environ: dict[str, Any]) -> Refusal | None:
         """Return a refusal while this VM stops or its catalogue may be outdated."""
-        if self.closed:
+        if self.stopping:
             environ["bamboovale.close"]()
             return Refusal(
                 ErrorCode.DRAINING,
@@ -141,12 +141,12 @@
 
     def _entries(self, request: CallerRequest) -> CallerAnswer:
         """Return the entry VMs to use, those in the caller's failure domain first."""
-        near = parse_qs(request.query).get("failure_domain", [""])[0]
+        preferred_domain = parse_qs(request.query).get("failure_domain", [""])[0]
         usable = self._views.membership.usable_entry_vms()
         own_id = self._environment.settings.id
         if not self._views.serving and len(usable) > 1:
             usable = [vm for vm in usable if vm.id != own_id]
-        entries = [_entry_row(vm) for vm in _ordered(usable, near)]
+        entries = [_entry_row(vm) for vm in _shuffled(usable, preferred_domain)]
         ttl_s = self._environment.settings.entries_ttl_s
         return _json(200, {"entries": entries, "valid_for_s": ttl_s})
 
@@ -164,10 +164,10 @@
     return "service" if path.startswith(SERVICE_PREFIX) else "other"
 
 
-def _ordered(vms: list[VM], near: str) -> list[VM]:
-    """Shuffle the VMs to spread the load, with those in ``near`` first."""
+def _shuffled(vms: list[VM], preferred_domain: str) -> list[VM]:
+    """Shuffle the VMs to spread the load, with those in ``preferred_domain`` first."""
     shuffled = random.sample(vms, len(vms))
-    return sorted(shuffled, key=lambda vm: vm.failure_domain != near)
+    return sorted(shuffled, key=lambda vm: vm.failure_domain != preferred_domain)
 
 
 def _entry_row(vm: VM) -> dict[str, Any]:
--- a/bamboovale/entry/caller_request.py
+++ b/bamboovale/entry/caller_request.py
@@ -64,16 +64,18 @@
     if not request_id:
         request_id = f"req-{os.urandom(8).hex()}"
     elif not _REQUEST_ID.fullmatch(request_id):
-        return _bad("X-Request-Id: 1 to 128 letters, digits or any of _.:-")
+        return _bad_request("X-Request-Id: 1 to 128 letters, digits or any of _.:-")
     key = headers.get("idempotency-key")
     if key is not None and not _KEY.fullmatch(key):
-        return _bad(f"Idempotency-Key: 1 to {MAX_KEY_LENGTH} printable characters")
+        return _bad_request(
+            f"Idempotency-Key: 1 to {MAX_KEY_LENGTH} printable characters"
+        )
     idempotent = {None: None, "true": True, "false": False}.get(
         headers.get("x-idempotent"),
         "invalid",
     )
     if idempotent == "invalid":
-        return _bad("X-Idempotent: true or false")
+        return _bad_request("X-Idempotent: true or false")
     deadline = _read_deadline(headers.get("x-deadline-ms"))
     if isinstance(deadline, Err):
         return deadline
@@ -116,7 +118,9 @@
     # int() raises ValueError for thousands of digits, hence the check of the length.
     is_number = text.isdecimal() and len(text) <= len(str(MAX_DEADLINE_MS))
     if not is_number or not 0 < int(text) <= MAX_DEADLINE_MS:
-        return _bad(f"X-Deadline-Ms: a whole number from 1 to {MAX_DEADLINE_MS}")
+        return _bad_request(
+            f"X-Deadline-Ms: a whole number from 1 to {MAX_DEADLINE_MS}"
+        )
     return Ok(int(text) / 1000)
 
 
@@ -131,18 +135,18 @@
             with bounded_read(environ, length):
                 body = stream.read(length)
             if len(body) < length:
-                return _bad("the body ended early")
+                return _bad_request("the body ended early")
             return Ok(body)
         if "chunked" not in environ.get("HTTP_TRANSFER_ENCODING", "").lower():
             return Ok(b"")
         with bounded_read(environ, limit):
             body = stream.read(limit + 1)
     except Exception as error:  # cheroot raises several kinds for a broken body
-        return _bad(f"the body could not be read: {type(error).__name__}")
+        return _bad_request(f"the body could not be read: {type(error).__name__}")
     return Ok(body) if len(body) <= limit else _too_large(limit)
 
 
-def _bad(message: str) -> Err[Refusal]:
+def _bad_request(message: str) -> Err[Refusal]:
     return Err(Refusal(ErrorCode.BAD_REQUEST, message, not_run=True))
 
 
--- a/bamboovale/entry/decision_facade.py
+++ b/bamboovale/entry/decision_facade.py
@@ -23,10 +23,10 @@
 from bamboovale.models import VM, VMKind
 from bamboovale.views import Views
 
-BYTES_PER_PLACE = 64 * 1024
+BYTES_PER_REQUEST = 64 * 1024
 """Mean body size per open request; bounds the memory that bodies take."""
 
-REFUSING_THREADS = 8
+RESERVED_THREADS = 8
 """Threads kept free of admitted work, so that an overloaded VM can still refuse."""
 
 
@@ -39,7 +39,7 @@
 
     def __init__(self, environment: Environment, views: Views, policy: Policy) -> None:
         settings = environment.settings
-        places = max(1, settings.caller_threads - REFUSING_THREADS)
+        places = max(1, settings.caller_threads - RESERVED_THREADS)
         self._environment = environment
         self._views = views
         self._lock = threading.Lock()
@@ -51,7 +51,7 @@
         self._admission = Admission.from_config(
             AdmissionConfig(
                 places=places,
-                size_bytes=max(settings.max_body_bytes, places * BYTES_PER_PLACE),
+                size_bytes=max(settings.max_body_bytes, places * BYTES_PER_REQUEST),
             )
         )
         self._retries = RetryBudget.from_config(RetryConfig())
--- a/bamboovale/entry/engine_holders.py
+++ b/bamboovale/entry/engine_holders.py
@@ -90,7 +90,7 @@
         with self._lock:
             previous = self._holder_by_engine.pop(engine_id, None)
             if previous is not None:
-                self._end(previous)
+                self._stop_holder(previous)
             self._lease_by_engine_without_pool.pop(engine_id, None)
             if self._awaits_pool(vm.pool):
                 held = HeldLease(fencing, valid, callbacks)
@@ -124,7 +124,7 @@
             self._lease_by_engine_without_pool.pop(engine_id, None)
             holder = self._holder_by_engine.pop(engine_id, None)
         if holder is not None:
-            self._end(holder)
+            self._stop_holder(holder)
             callbacks.on_stopped(engine_id)
 
     def stop_all(self) -> None:
@@ -134,7 +134,7 @@
             self._holder_by_engine.clear()
             self._lease_by_engine_without_pool.clear()
         for holder in holders:
-            self._end(holder)
+            self._stop_holder(holder)
 
     def wake(self, engine_id: str) -> None:
         """Make a holder check its lease immediately instead of at its next tick."""
@@ -170,7 +170,7 @@
             for engine_id, holder in sorted(self._holder_by_engine.items())
         }
 
-    def _end(self, holder: pykka.ActorRef) -> None:
+    def _stop_holder(self, holder: pykka.ActorRef) -> None:
         self._ticker.remove(holder)
         holder.stop(block=False)
 
--- a/bamboovale/entry/engine_run.py
+++ b/bamboovale/entry/engine_run.py
@@ -16,7 +16,7 @@
     ExchangeFailedError,
 )
 
-HEAD_TIMEOUT_S = 600.0
+READ_TIMEOUT_S = 600.0
 """Covers the engine's queue and an answer of some thousand tokens."""
 
 STREAM_READ_BYTES = 64 * 1024
@@ -81,7 +81,7 @@
         try:
             self.exchange: Exchange = connections.open(
                 target.address,
-                HEAD_TIMEOUT_S,
+                READ_TIMEOUT_S,
                 fresh=fresh,
             )
         except ConnectFailedError as error:
--- a/bamboovale/entry/http_server.py
+++ b/bamboovale/entry/http_server.py
@@ -16,12 +16,12 @@
 """Idle connections are closed after this time. The server checks the clock before the
 socket, so a VM that was paused for longer drops requests that arrived meanwhile."""
 
-KEPT_CONNECTIONS = 1000
+MAX_IDLE_CONNECTIONS = 1000
 """Idle connections kept; each uses a descriptor but no thread."""
 
 ACCEPT_QUEUE = 256
 MAX_HEADER_BYTES = 32 * 1024
-BODY_SLACK_BYTES = 1024
+BODY_MARGIN_BYTES = 1024
 """Margin of the server's body limit over ours, which answers with a JSON error."""
 
 
@@ -66,8 +66,8 @@
         self._server.gateway = ConnectionGateway
         self._server.ConnectionClass = CallerConnection
         self._server.max_request_header_size = MAX_HEADER_BYTES
-        self._server.max_request_body_size = 2 * max_body_bytes + BODY_SLACK_BYTES
-        self._server.keep_alive_conn_limit = KEPT_CONNECTIONS
+        self._server.max_request_body_size = 2 * max_body_bytes + BODY_MARGIN_BYTES
+        self._server.keep_alive_conn_limit = MAX_IDLE_CONNECTIONS
         self._thread = threading.Thread(
             target=self._server.serve,
             name=f"http-{name}",
--- a/bamboovale/entry/idempotency_keys.py
+++ b/bamboovale/entry/idempotency_keys.py
@@ -74,7 +74,7 @@
             )
         if outcome.verdict is Verdict.WON:
             return self._run(request, claim, run)
-        return self._answer_loser(request, outcome)
+        return self._answer_lost_claim(request, outcome)
 
     def _make_claim(
         self,
@@ -110,17 +110,17 @@
         try:
             answer = run()
         except BaseException:
-            self._settle(claim, StoredAnswer(AnswerState.UNKNOWN))
+            self._record_outcome(claim, StoredAnswer(AnswerState.UNKNOWN))
             raise
         copy = _ChunkCopy(answer)
 
-        def settle() -> None:
-            self._settle(claim, copy.kept())
+        def record_outcome() -> None:
+            self._record_outcome(claim, copy.kept())
 
-        chunks = ChunksWithCleanup(copy, settle)
+        chunks = ChunksWithCleanup(copy, record_outcome)
         return CallerAnswer(answer.status, answer.headers, chunks, answer.outcome)
 
-    def _settle(self, claim: Claim, kept: StoredAnswer) -> None:
+    def _record_outcome(self, claim: Claim, kept: StoredAnswer) -> None:
         self._answers.end(claim.attempt_id, kept)
         item: Answered | Released
         if kept.state is AnswerState.NOT_RUN:
@@ -131,7 +131,7 @@
             return  # the key stays claimed: it is unknown whether the request ran
         tell(self._claims, ClaimEnded(item))
 
-    def _answer_loser(
+    def _answer_lost_claim(
         self,
         request: CallerRequest,
         outcome: ClaimOutcome,
@@ -153,7 +153,9 @@
             )
         if verdict is Verdict.LOST:
             return self._answer_repeat(request, outcome.holder)
-        return self._unknown(request, "nobody can tell whether this key ran before")
+        return self._refuse_as_unknown(
+            request, "nobody can tell whether this key ran before"
+        )
 
     def _answer_repeat(self, request: CallerRequest, holder: KeyInfo) -> CallerAnswer:
         """Wait for the first attempt's answer and return it to a repeated request."""
@@ -176,12 +178,14 @@
                     retry_after_s=0.5,
                 )
             if kept.state is AnswerState.UNKNOWN:
-                return self._unknown(request, "the first attempt's answer is not known")
+                return self._refuse_as_unknown(
+                    request, "the first attempt's answer is not known"
+                )
             if self._environment.now() >= give_up_at:
-                return self._unknown(request, "the first attempt still runs")
+                return self._refuse_as_unknown(request, "the first attempt still runs")
             time.sleep(POLL_S)
 
-    def _unknown(self, request: CallerRequest, message: str) -> CallerAnswer:
+    def _refuse_as_unknown(self, request: CallerRequest, message: str) -> CallerAnswer:
         refusal = Refusal(ErrorCode.OUTCOME_UNKNOWN, message, not_run=False)
         return CallerAnswer.refusal(refusal, request.request_id)
 
--- a/bamboovale/entry/model_call.py
+++ b/bamboovale/entry/model_call.py
@@ -36,7 +36,7 @@
 def read_model_call(path: str, body: bytes) -> Result[ModelCall, Refusal]:
     """Parse and validate a body; one refusal lists all findings."""
     try:
-        fields = json.loads(body, parse_constant=_refuse_constant)
+        fields = json.loads(body, parse_constant=_reject_constant)
     except (ValueError, RecursionError):
         return _refuse([Finding("body", "must be JSON")])
     if not isinstance(fields, dict):
@@ -55,7 +55,7 @@
     )
 
 
-def _refuse_constant(text: str) -> float:
+def _reject_constant(text: str) -> float:
     """Raise ValueError for NaN and Infinity, which are not JSON."""
     raise ValueError(f"{text} is no JSON")
 
--- a/bamboovale/entry/peer_client.py
+++ b/bamboovale/entry/peer_client.py
@@ -27,7 +27,7 @@
 )
 from bamboovale.views import Views
 
-TIMEOUT_S = 2.0
+REQUEST_TIMEOUT_S = 2.0
 RECORD_FANOUT = 3
 """Peers to which each VM forwards new records, whatever the number of VMs."""
 
@@ -59,7 +59,7 @@
             future: Future[Any] = self._links.request(
                 peer,
                 CatalogueQuery(),
-                TIMEOUT_S,
+                REQUEST_TIMEOUT_S,
             )
             tell_result(
                 keeper,
@@ -76,7 +76,9 @@
         """Report to a new holder which permits on its engine this VM and peers hold."""
         tell(holder, PermitsReported(own_permits))
         for vm_id in self._all_peers():
-            future = self._links.request(vm_id, PermitsQuery(engine_id), TIMEOUT_S)
+            future = self._links.request(
+                vm_id, PermitsQuery(engine_id), REQUEST_TIMEOUT_S
+            )
             tell_result(holder, future, _permits_reported)
 
     def publish_crash(
@@ -107,9 +109,9 @@
         """Return an attempt's answer from the VM that ran it; may block."""
         if vm_id == self._own_id:
             return self._answers.find(attempt_id)
-        future = self._links.request(vm_id, AnswerQuery(attempt_id), TIMEOUT_S)
+        future = self._links.request(vm_id, AnswerQuery(attempt_id), REQUEST_TIMEOUT_S)
         try:
-            kept = future.result(2 * TIMEOUT_S)
+            kept = future.result(2 * REQUEST_TIMEOUT_S)
         except Exception:  # any failure of the link: the outcome is unknown
             return StoredAnswer(AnswerState.UNKNOWN)
         if not isinstance(kept, AnswerKept):
--- a/bamboovale/entry/request_gate.py
+++ b/bamboovale/entry/request_gate.py
@@ -71,7 +71,7 @@
     """A connection whose request is incomplete, and the time to close it."""
 
     connection: HTTPConnection
-    until: float
+    deadline: float
 
 
 class RequestGate:
@@ -120,7 +120,7 @@
         while not self._stopping.is_set():
             for descriptor, events in self._epoll.poll(POLL_INTERVAL_S):
                 self._poll(descriptor, ended=bool(events & select.EPOLLRDHUP))
-            self._drop_overdue()
+            self._drop_expired()
 
     def _poll(self, descriptor: int, *, ended: bool) -> None:
         waiting = self._waiting_by_descriptor.get(descriptor)
@@ -130,24 +130,24 @@
             if ended:
                 self._drop(descriptor)
             return
-        if self._take(descriptor) is not None:
+        if self._remove(descriptor) is not None:
             self._admit(waiting.connection)
 
-    def _drop_overdue(self) -> None:
+    def _drop_expired(self) -> None:
         now = time.monotonic()
         with self._lock:
-            overdue = [
+            expired = [
                 descriptor
                 for descriptor, waiting in self._waiting_by_descriptor.items()
-                if waiting.until <= now
+                if waiting.deadline <= now
             ]
-        for descriptor in overdue:
+        for descriptor in expired:
             # If the VM was paused, the request may have arrived in the meantime.
             self._poll(descriptor, ended=False)
             self._drop(descriptor)
 
     def _drop(self, descriptor: int) -> None:
-        waiting = self._take(descriptor)
+        waiting = self._remove(descriptor)
         if waiting is None:
             return
         with contextlib.suppress(OSError):
@@ -155,7 +155,7 @@
             waiting.connection.socket.send(TIMEOUT_ANSWER)
         waiting.connection.close()
 
-    def _take(self, descriptor: int) -> WaitingConnection | None:
+    def _remove(self, descriptor: int) -> WaitingConnection | None:
         """Remove and return a connection; only one thread gets it."""
         with self._lock:
             waiting = self._waiting_by_descriptor.pop(descriptor, None)
--- a/bamboovale/entry/service_calls.py
+++ b/bamboovale/entry/service_calls.py
@@ -116,11 +116,11 @@
             return Ok(answer)
         except ConnectFailedError as error:
             call.excluded.add(endpoint_id)
-            return Err(self._after_not_run(call, str(error)))
+            return Err(self._after_failed_connect(call, str(error)))
         except ExchangeFailedError as error:
             call.excluded.add(endpoint_id)
             call.ran = True
-            return Err(self._after_break(call, str(error)))
+            return Err(self._after_lost_answer(call, str(error)))
         finally:
             self._decisions.call_ended(call.entry.pool, endpoint_id, attempt_id, ok)
 
@@ -202,7 +202,7 @@
             retry_after_s=1.0,
         )
 
-    def _after_not_run(self, call: "_Call", reason: str) -> Refusal | None:
+    def _after_failed_connect(self, call: "_Call", reason: str) -> Refusal | None:
         call.tries += 1
         if call.tries < MAX_TRIES:
             return None
@@ -213,7 +213,7 @@
             retry_after_s=1.0,
         )
 
-    def _after_break(self, call: "_Call", reason: str) -> Refusal | None:
+    def _after_lost_answer(self, call: "_Call", reason: str) -> Refusal | None:
         """Return None to retry an idempotent call within the budget, else a refusal."""
         call.tries += 1
         if not call.idempotent or call.disconnect.disconnected:
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -157,7 +157,7 @@
             self._health,
             MembershipCallbacks(
                 send=self._links.notify,
-                on_change=self._on_membership,
+                on_change=self._on_views_change,
                 on_peer_unreachable=self._holders.on_entry_vm_gone,
                 on_peer_ahead=lambda vm_id, next_offset: tell(
                     self._catalogue,
@@ -186,7 +186,7 @@
                 ),
                 seek=lambda offset: self._catalogue_follower.seek(offset),
                 on_version_changed=self._holders.on_version_changed,
-                on_change=self._on_membership,
+                on_change=self._on_views_change,
             ),
         )
         self._leases = LeaseActor.start(
@@ -195,8 +195,8 @@
             self._appender_by_stream[LEASE_STREAM],
             self._health,
             LeaseCallbacks(
-                on_held=self._on_held,
-                on_lost=self._on_lost,
+                on_held=self._on_lease_acquired,
+                on_lost=self._on_lease_lost,
                 on_valid=self._holders.wake,
             ),
         )
@@ -362,7 +362,7 @@
         tell(self._membership, DrainStarted())
         tell(self._leases, HandOverAll())
         time.sleep(settings.entries_ttl_s + settings.hint_interval_s)
-        self._caller_app.closed = True
+        self._caller_app.stopping = True
         give_up_at = self.environment.now() + settings.drain_timeout_s
         while self._caller_app.running and self.environment.now() < give_up_at:
             time.sleep(DRAIN_POLL_INTERVAL_S)
@@ -387,18 +387,18 @@
 
     # Callbacks between the components; called on their threads, must not block.
 
-    def _on_membership(self) -> None:
+    def _on_views_change(self) -> None:
         self.decisions.on_membership()
         self._holders.on_membership()
 
-    def _on_held(self, engine_id: str, fencing: int, valid: Any) -> None:
+    def _on_lease_acquired(self, engine_id: str, fencing: int, valid: Any) -> None:
         if engine_id == WEIGHT_STORE:
             tell(self._load_grants, SchedulerLeaseChanged(fencing, valid))
             tell(self._catalogue, SnapshotRoleChanged(is_writer=True))
             return
         self._holders.start(engine_id, fencing, valid, self._holder_callbacks)
 
-    def _on_lost(self, engine_id: str) -> None:
+    def _on_lease_lost(self, engine_id: str) -> None:
         if engine_id == WEIGHT_STORE:
             tell(self._load_grants, SchedulerLeaseChanged(None, lambda: False))
             tell(self._catalogue, SnapshotRoleChanged(is_writer=False))
