--- a/bamboovale/engines/load_grants.py
+++ b/bamboovale/engines/load_grants.py
@@ -40,7 +40,7 @@
     """Ask for the state as JSON."""
 
 
-class LoadGrantKeeper(MessageActor):
+class LoadGrantActor(MessageActor):
     """Schedules load grants for all entry VMs while it holds the weight store's lease.
 
     If no scheduler is reachable, it grants this VM's holders a static share.
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -30,7 +30,7 @@
 from bamboovale.engines.load_grant_router import LoadGrantRouter
 from bamboovale.engines.load_grants import (
     DumpLoadGrants,
-    LoadGrantKeeper,
+    LoadGrantActor,
     SchedulerLeaseChanged,
 )
 from bamboovale.entry.administration import Administration
@@ -167,7 +167,7 @@
                 on_interval=self.decisions.on_tick,
             ),
         )
-        self._load_grants = LoadGrantKeeper.start(
+        self._load_grants = LoadGrantActor.start(
             environment,
             self.views,
             self._links.notify,
