--- a/bamboovale/engines/holder.py
+++ b/bamboovale/engines/holder.py
@@ -29,7 +29,7 @@
     CancelReceived,
     DumpState,
     EngineLeaving,
-    EntryVMGone,
+    EntryVMUnreachable,
     LoadGrantReceived,
     PermitRequestReceived,
     PermitsReported,
@@ -123,7 +123,7 @@
         self.handle(PermitRequestReceived, self._on_request)
         self.handle(CancelReceived, self._on_cancel)
         self.handle(ReleaseReceived, self._on_release)
-        self.handle(EntryVMGone, self._on_entry_vm_gone)
+        self.handle(EntryVMUnreachable, self._on_entry_vm_unreachable)
         self.handle(PermitsReported, self._on_permits_reported)
         self.handle(ViewRead, self._on_view)
         self.handle(OrderCompleted, self._on_order_completed)
@@ -202,7 +202,7 @@
             self._poll()
         self._execute(self._dispatch.on_release(message.permit_id, self._now()))
 
-    def _on_entry_vm_gone(self, message: EntryVMGone) -> None:
+    def _on_entry_vm_unreachable(self, message: EntryVMUnreachable) -> None:
         for request_id, queued in list(self._queued_by_id.items()):
             if queued.entry_vm == message.entry_vm:
                 self._drop(request_id)
--- a/bamboovale/engines/messages.py
+++ b/bamboovale/engines/messages.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class EntryVMGone:
+class EntryVMUnreachable:
     """The link to an entry VM is lost."""
 
     entry_vm: str
--- a/bamboovale/entry/engine_holders.py
+++ b/bamboovale/entry/engine_holders.py
@@ -20,7 +20,7 @@
 from bamboovale.engines.messages import (
     DumpState,
     EngineLeaving,
-    EntryVMGone,
+    EntryVMUnreachable,
     VersionChanged,
 )
 from bamboovale.engines.orders import LeasedOrders
@@ -153,10 +153,10 @@
                 if held is not None:
                     self.start(engine_id, held.fencing, held.valid, held.callbacks)
 
-    def on_entry_vm_gone(self, vm_id: str) -> None:
+    def on_entry_vm_unreachable(self, vm_id: str) -> None:
         """Notify all holders that an entry VM is unreachable."""
         for holder in list(self._holder_by_engine.values()):
-            tell(holder, EntryVMGone(vm_id))
+            tell(holder, EntryVMUnreachable(vm_id))
 
     def on_version_changed(self, replaced: str, lora_name: str, source: str) -> None:
         """Notify all holders of a new adapter version."""
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -158,7 +158,7 @@
             MembershipCallbacks(
                 send=self._links.notify,
                 on_change=self._on_views_change,
-                on_peer_unreachable=self._holders.on_entry_vm_gone,
+                on_peer_unreachable=self._holders.on_entry_vm_unreachable,
                 on_peer_ahead=lambda vm_id, next_offset: tell(
                     self._catalogue,
                     PeerIsAhead(vm_id, next_offset),
