--- a/bamboovale/engines/load_grant_router.py
+++ b/bamboovale/engines/load_grant_router.py
@@ -35,17 +35,17 @@
         self._own_id = own_id
         self._links = links
         self._holders = holders
-        self._keeper: pykka.ActorRef | None = None
+        self._actor: pykka.ActorRef | None = None
 
-    def attach(self, keeper: pykka.ActorRef) -> None:
+    def attach(self, actor: pykka.ActorRef) -> None:
         """Set the actor that schedules load grants or finds their scheduler."""
-        self._keeper = keeper
+        self._actor = actor
 
     def request(self, engine_id: str, lora_name: str, weight: float) -> None:
         """Request a grant on behalf of a holder on this VM."""
         request = LoadGrantRequest(engine_id, lora_name, weight)
-        if self._keeper is not None:
-            tell(self._keeper, LoadRequestReceived(self._own_id, request))
+        if self._actor is not None:
+            tell(self._actor, LoadRequestReceived(self._own_id, request))
 
     def release(self, grant: LoadGrantReply, *, used: bool, loaded: bool) -> None:
         """Return a grant to the scheduler that issued it."""
@@ -53,8 +53,8 @@
         vm_id = grant.scheduler.rpartition(":")[0]
         if vm_id != self._own_id:
             self._links.notify(vm_id, ended)
-        elif self._keeper is not None:
-            tell(self._keeper, LoadReleaseReceived(ended))
+        elif self._actor is not None:
+            tell(self._actor, LoadReleaseReceived(ended))
 
     def deliver(self, grant: LoadGrantReply) -> None:
         """Pass a grant to the engine's holder; return it if there is none here."""
--- a/bamboovale/entry/administration.py
+++ b/bamboovale/entry/administration.py
@@ -32,14 +32,14 @@
         self,
         environment: Environment,
         views: Views,
-        keeper: pykka.ActorRef,
+        catalogue_actor: pykka.ActorRef,
         appender: Appender,
         links: PeerLinks,
         state_dump: StateDump,
     ) -> None:
         self._environment = environment
         self._views = views
-        self._keeper = keeper
+        self._catalogue_actor = catalogue_actor
         self._appender = appender
         self._links = links
         self._state_dump = state_dump
@@ -55,7 +55,7 @@
         as well: only reading the record back shows it.
         """
         future: Future[EditOutcome] = Future()
-        tell(self._keeper, AwaitOutcome(edit.edit_id, edit.digest(), future))
+        tell(self._catalogue_actor, AwaitOutcome(edit.edit_id, edit.digest(), future))
         appended = self._appender.append_now(edit.to_json())
         if isinstance(appended, Err) and not appended.err_value.may_have_taken_effect:
             self._count("log_unavailable")
--- a/bamboovale/entry/idempotency_keys.py
+++ b/bamboovale/entry/idempotency_keys.py
@@ -115,18 +115,18 @@
         copy = _ChunkCopy(answer)
 
         def record_outcome() -> None:
-            self._record_outcome(claim, copy.kept())
+            self._record_outcome(claim, copy.stored())
 
         chunks = ChunksWithCleanup(copy, record_outcome)
         return CallerAnswer(answer.status, answer.headers, chunks, answer.outcome)
 
-    def _record_outcome(self, claim: Claim, kept: StoredAnswer) -> None:
-        self._answers.end(claim.attempt_id, kept)
+    def _record_outcome(self, claim: Claim, stored: StoredAnswer) -> None:
+        self._answers.end(claim.attempt_id, stored)
         item: Answered | Released
-        if kept.state is AnswerState.NOT_RUN:
+        if stored.state is AnswerState.NOT_RUN:
             item = Released(claim.key, claim.owner, claim.attempt_id)
-        elif kept.state is AnswerState.ANSWERED:
-            item = Answered(claim.key, claim.owner, claim.attempt_id, kept.status)
+        elif stored.state is AnswerState.ANSWERED:
+            item = Answered(claim.key, claim.owner, claim.attempt_id, stored.status)
         else:
             return  # the key stays claimed: it is unknown whether the request ran
         tell(self._claims, ClaimEnded(item))
@@ -162,22 +162,22 @@
         wait_s = min(MAX_ANSWER_WAIT_S, request.deadline_s or MAX_ANSWER_WAIT_S)
         give_up_at = self._environment.now() + wait_s
         while True:
-            kept = self._find_answer(holder.node, holder.attempt_id)
-            if kept.state is AnswerState.ANSWERED:
+            stored = self._find_answer(holder.node, holder.attempt_id)
+            if stored.state is AnswerState.ANSWERED:
                 headers = [
-                    *_without(kept.headers, "content-length", "x-request-id"),
+                    *_without(stored.headers, "content-length", "x-request-id"),
                     ("X-Request-Id", request.request_id),
                     ("X-Repeated-Answer", "1"),
                 ]
-                return CallerAnswer.complete(kept.status, headers, kept.body)
-            if kept.state is AnswerState.NOT_RUN:
+                return CallerAnswer.complete(stored.status, headers, stored.body)
+            if stored.state is AnswerState.NOT_RUN:
                 return self._refuse(
                     request,
                     ErrorCode.OVERLOADED,
                     "the first attempt with this key was not run; send it again",
                     retry_after_s=0.5,
                 )
-            if kept.state is AnswerState.UNKNOWN:
+            if stored.state is AnswerState.UNKNOWN:
                 return self._refuse_as_unknown(
                     request, "the first attempt's answer is not known"
                 )
@@ -206,7 +206,7 @@
     def __init__(self, answer: CallerAnswer) -> None:
         self._answer = answer
         self._chunks = iter(answer.chunks)
-        self._kept = bytearray()
+        self._stored = bytearray()
         self._complete = True
 
     def __iter__(self) -> Iterator[bytes]:
@@ -214,8 +214,8 @@
 
     def __next__(self) -> bytes:
         chunk = next(self._chunks)
-        if self._complete and len(self._kept) + len(chunk) <= MAX_BODY_BYTES:
-            self._kept += chunk
+        if self._complete and len(self._stored) + len(chunk) <= MAX_BODY_BYTES:
+            self._stored += chunk
         else:
             self._complete = False
         return chunk
@@ -226,14 +226,14 @@
         if close_chunks is not None:
             close_chunks()
 
-    def kept(self) -> StoredAnswer:
+    def stored(self) -> StoredAnswer:
         """Return the answer to keep for repeated requests."""
         answer = self._answer
         state = _final_state(answer.outcome)
         if state is AnswerState.ANSWERED and not self._complete:
             state = AnswerState.UNKNOWN
         headers = tuple(answer.headers)
-        return StoredAnswer(state, answer.status, headers, bytes(self._kept))
+        return StoredAnswer(state, answer.status, headers, bytes(self._stored))
 
 
 def _final_state(outcome: AnswerOutcome) -> AnswerState:
--- a/bamboovale/entry/peer_client.py
+++ b/bamboovale/entry/peer_client.py
@@ -53,8 +53,10 @@
         for vm_id in self._some_peers(RECORD_FANOUT):
             self._links.notify(vm_id, notice)
 
-    def request_catalogue(self, vm_id: str | None, keeper: pykka.ActorRef) -> None:
-        """Request a catalogue snapshot from a peer, any if None, for the keeper."""
+    def request_catalogue(
+        self, vm_id: str | None, catalogue_actor: pykka.ActorRef
+    ) -> None:
+        """Request a catalogue snapshot from a peer, any if None, for the catalogue."""
         for peer in self._some_peers(1) if vm_id is None else [vm_id]:
             future: Future[Any] = self._links.request(
                 peer,
@@ -62,7 +64,7 @@
                 REQUEST_TIMEOUT_S,
             )
             tell_result(
-                keeper,
+                catalogue_actor,
                 future,
                 lambda answer: PeerSnapshotReceived(getattr(answer, "snapshot", None)),
             )
@@ -111,16 +113,16 @@
             return self._answers.find(attempt_id)
         future = self._links.request(vm_id, AnswerQuery(attempt_id), REQUEST_TIMEOUT_S)
         try:
-            kept = future.result(2 * REQUEST_TIMEOUT_S)
+            stored = future.result(2 * REQUEST_TIMEOUT_S)
         except Exception:  # any failure of the link: the outcome is unknown
             return StoredAnswer(AnswerState.UNKNOWN)
-        if not isinstance(kept, AnswerKept):
+        if not isinstance(stored, AnswerKept):
             return StoredAnswer(AnswerState.UNKNOWN)
         return StoredAnswer(
-            AnswerState(kept.state),
-            kept.status,
-            kept.headers,
-            kept.body,
+            AnswerState(stored.state),
+            stored.status,
+            stored.headers,
+            stored.body,
         )
 
     def _all_peers(self) -> list[str]:
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -116,14 +116,14 @@
         reply(RevisionAnswer(0 if catalogue is None else catalogue.revision))
 
     def _on_answer_query(self, _: str, query: AnswerQuery, reply: Reply) -> None:
-        kept = self._targets.answers.find(query.attempt_id)
+        stored = self._targets.answers.find(query.attempt_id)
         reply(
             AnswerKept(
                 attempt_id=query.attempt_id,
-                state=kept.state.value,
-                status=kept.status,
-                headers=kept.headers,
-                body=kept.body,
+                state=stored.state.value,
+                status=stored.status,
+                headers=stored.headers,
+                body=stored.body,
             )
         )
 
--- a/tests/test_entry_idempotency_keys.py
+++ b/tests/test_entry_idempotency_keys.py
@@ -48,7 +48,7 @@
         self,
         verdict: Verdict = Verdict.WON,
         state: KeyState = KeyState.CLAIMED,
-        kept: StoredAnswer | None = None,
+        stored: StoredAnswer | None = None,
         log_reachable: bool = True,
     ) -> None:
         self.runs = 0
@@ -62,7 +62,7 @@
             ),
             self.claims,
             self.answers,
-            lambda vm_id, attempt_id: kept or StoredAnswer(AnswerState.UNKNOWN),
+            lambda vm_id, attempt_id: stored or StoredAnswer(AnswerState.UNKNOWN),
             lambda: log_reachable,
         )
 
@@ -149,20 +149,20 @@
     """A repeat never runs; it gets the first answer or a refusal."""
 
     def test_it_gets_the_first_answer_under_its_own_id(self) -> None:
-        kept = StoredAnswer(
+        stored = StoredAnswer(
             AnswerState.ANSWERED,
             201,
             (("X-Request-Id", "first"), ("Content-Length", "6")),
             b"booked",
         )
-        requests = KeyedRequests(Verdict.LOST, KeyState.ANSWERED, kept)
+        requests = KeyedRequests(Verdict.LOST, KeyState.ANSWERED, stored)
         answer = requests.answer()
         assert (answer.status, b"".join(answer.chunks)) == (201, b"booked")
         assert ("X-Request-Id", "r") in answer.headers
         assert requests.runs == 0
 
     @pytest.mark.parametrize(
-        ("verdict", "kept", "code", "not_run"),
+        ("verdict", "stored", "code", "not_run"),
         [
             (Verdict.LOST, None, ErrorCode.OUTCOME_UNKNOWN, False),
             (Verdict.UNKNOWN, None, ErrorCode.OUTCOME_UNKNOWN, False),
@@ -179,11 +179,11 @@
     def test_refusals_of_repeats(
         self,
         verdict: Verdict,
-        kept: StoredAnswer | None,
+        stored: StoredAnswer | None,
         code: ErrorCode,
         not_run: bool,
     ) -> None:
-        requests = KeyedRequests(verdict, kept=kept)
+        requests = KeyedRequests(verdict, stored=stored)
         answer = requests.answer()
         assert code_of(answer) == code.value
         assert (answer.outcome.state is AnswerState.NOT_RUN) is not_run
