--- a/bamboovale/entry/peer_client.py
+++ b/bamboovale/entry/peer_client.py
@@ -56,7 +56,7 @@
     def request_catalogue(
         self, vm_id: str | None, catalogue_actor: pykka.ActorRef
     ) -> None:
-        """Request a catalogue snapshot from a peer, any if None, for the catalogue."""
+        """Request a catalogue snapshot from a peer, any if None, for the actor."""
         for peer in self._some_peers(1) if vm_id is None else [vm_id]:
             future: Future[Any] = self._links.request(
                 peer,
