--- a/bamboovale/entry/engine_holders.py
+++ b/bamboovale/entry/engine_holders.py
@@ -20,7 +20,7 @@
 from bamboovale.engines.messages import (
     DumpState,
     EngineLeaving,
-    EntryVMGone,
+    EntryVMUnreachable,
     VersionChanged,
 )
 from bamboovale.engines.orders import LeasedOrders
@@ -47,7 +47,7 @@
 
     fencing: int
     valid: Callable[[], bool]
-    links: HolderCallbacks
+    callbacks: HolderCallbacks
 
 
 class EngineHolders:
@@ -79,7 +79,7 @@
         engine_id: str,
         fencing: int,
         valid: Callable[[], bool],
-        links: HolderCallbacks,
+        callbacks: HolderCallbacks,
     ) -> None:
         """Start the holder of an engine, or defer it until its pool is known."""
         vm = self._views.membership.vm_by_id.get(engine_id)
@@ -90,10 +90,10 @@
         with self._lock:
             previous = self._holder_by_engine.pop(engine_id, None)
             if previous is not None:
-                self._end(previous)
+                self._stop_holder(previous)
             self._lease_by_engine_without_pool.pop(engine_id, None)
             if self._awaits_pool(vm.pool):
-                held = HeldLease(fencing, valid, links)
+                held = HeldLease(fencing, valid, callbacks)
                 self._lease_by_engine_without_pool[engine_id] = held
                 return
             holder = EngineHolder.start(
@@ -108,24 +108,24 @@
                     fencing,
                     valid,
                 ),
-                load_grants=links.load_grants,
-                on_hint=links.on_hint,
+                load_grants=callbacks.load_grants,
+                on_hint=callbacks.on_hint,
                 log_is_down=lambda: self._views.log_down_for_all,
             )
             self._holder_by_engine[engine_id] = holder
         self._ticker.add(holder)
         if self._views.membership.is_leaving(engine_id):
             tell(holder, EngineLeaving())
-        links.on_started(engine_id)
+        callbacks.on_started(engine_id)
 
-    def stop(self, engine_id: str, links: HolderCallbacks) -> None:
+    def stop(self, engine_id: str, callbacks: HolderCallbacks) -> None:
         """Stop the holder of an engine; its queued requests try another engine."""
         with self._lock:
             self._lease_by_engine_without_pool.pop(engine_id, None)
             holder = self._holder_by_engine.pop(engine_id, None)
         if holder is not None:
-            self._end(holder)
-            links.on_stopped(engine_id)
+            self._stop_holder(holder)
+            callbacks.on_stopped(engine_id)
 
     def stop_all(self) -> None:
         """Stop every holder."""
@@ -134,7 +134,7 @@
             self._holder_by_engine.clear()
             self._lease_by_engine_without_pool.clear()
         for holder in holders:
-            self._end(holder)
+            self._stop_holder(holder)
 
     def wake(self, engine_id: str) -> None:
         """Make a holder check its lease immediately instead of at its next tick."""
@@ -151,12 +151,12 @@
             with self._lock:
                 held = self._lease_by_engine_without_pool.get(engine_id)
                 if held is not None:
-                    self.start(engine_id, held.fencing, held.valid, held.links)
+                    self.start(engine_id, held.fencing, held.valid, held.callbacks)
 
-    def on_entry_vm_gone(self, vm_id: str) -> None:
+    def on_entry_vm_unreachable(self, vm_id: str) -> None:
         """Notify all holders that an entry VM is unreachable."""
         for holder in list(self._holder_by_engine.values()):
-            tell(holder, EntryVMGone(vm_id))
+            tell(holder, EntryVMUnreachable(vm_id))
 
     def on_version_changed(self, replaced: str, lora_name: str, source: str) -> None:
         """Notify all holders of a new adapter version."""
@@ -170,7 +170,7 @@
             for engine_id, holder in sorted(self._holder_by_engine.items())
         }
 
-    def _end(self, holder: pykka.ActorRef) -> None:
+    def _stop_holder(self, holder: pykka.ActorRef) -> None:
         self._ticker.remove(holder)
         holder.stop(block=False)
 
--- a/bamboovale/entry/idempotency_keys.py
+++ b/bamboovale/entry/idempotency_keys.py
@@ -74,7 +74,7 @@
             )
         if outcome.verdict is Verdict.WON:
             return self._run(request, claim, run)
-        return self._answer_loser(request, outcome)
+        return self._answer_lost_claim(request, outcome)
 
     def _make_claim(
         self,
@@ -110,28 +110,28 @@
         try:
             answer = run()
         except BaseException:
-            self._settle(claim, StoredAnswer(AnswerState.UNKNOWN))
+            self._record_outcome(claim, StoredAnswer(AnswerState.UNKNOWN))
             raise
         copy = _ChunkCopy(answer)
 
-        def settle() -> None:
-            self._settle(claim, copy.kept())
+        def record_outcome() -> None:
+            self._record_outcome(claim, copy.stored())
 
-        chunks = ChunksWithCleanup(copy, settle)
+        chunks = ChunksWithCleanup(copy, record_outcome)
         return CallerAnswer(answer.status, answer.headers, chunks, answer.outcome)
 
-    def _settle(self, claim: Claim, kept: StoredAnswer) -> None:
-        self._answers.end(claim.attempt_id, kept)
+    def _record_outcome(self, claim: Claim, stored: StoredAnswer) -> None:
+        self._answers.end(claim.attempt_id, stored)
         item: Answered | Released
-        if kept.state is AnswerState.NOT_RUN:
+        if stored.state is AnswerState.NOT_RUN:
             item = Released(claim.key, claim.owner, claim.attempt_id)
-        elif kept.state is AnswerState.ANSWERED:
-            item = Answered(claim.key, claim.owner, claim.attempt_id, kept.status)
+        elif stored.state is AnswerState.ANSWERED:
+            item = Answered(claim.key, claim.owner, claim.attempt_id, stored.status)
         else:
             return  # the key stays claimed: it is unknown whether the request ran
         tell(self._claims, ClaimEnded(item))
 
-    def _answer_loser(
+    def _answer_lost_claim(
         self,
         request: CallerRequest,
         outcome: ClaimOutcome,
@@ -153,35 +153,39 @@
             )
         if verdict is Verdict.LOST:
             return self._answer_repeat(request, outcome.holder)
-        return self._unknown(request, "nobody can tell whether this key ran before")
+        return self._refuse_as_unknown(
+            request, "nobody can tell whether this key ran before"
+        )
 
     def _answer_repeat(self, request: CallerRequest, holder: KeyInfo) -> CallerAnswer:
         """Wait for the first attempt's answer and return it to a repeated request."""
         wait_s = min(MAX_ANSWER_WAIT_S, request.deadline_s or MAX_ANSWER_WAIT_S)
         give_up_at = self._environment.now() + wait_s
         while True:
-            kept = self._find_answer(holder.node, holder.attempt_id)
-            if kept.state is AnswerState.ANSWERED:
+            stored = self._find_answer(holder.node, holder.attempt_id)
+            if stored.state is AnswerState.ANSWERED:
                 headers = [
-                    *_without(kept.headers, "content-length", "x-request-id"),
+                    *_without(stored.headers, "content-length", "x-request-id"),
                     ("X-Request-Id", request.request_id),
                     ("X-Repeated-Answer", "1"),
                 ]
-                return CallerAnswer.complete(kept.status, headers, kept.body)
-            if kept.state is AnswerState.NOT_RUN:
+                return CallerAnswer.complete(stored.status, headers, stored.body)
+            if stored.state is AnswerState.NOT_RUN:
                 return self._refuse(
                     request,
                     ErrorCode.OVERLOADED,
                     "the first attempt with this key was not run; send it again",
                     retry_after_s=0.5,
                 )
-            if kept.state is AnswerState.UNKNOWN:
-                return self._unknown(request, "the first attempt's answer is not known")
+            if stored.state is AnswerState.UNKNOWN:
+                return self._refuse_as_unknown(
+                    request, "the first attempt's answer is not known"
+                )
             if self._environment.now() >= give_up_at:
-                return self._unknown(request, "the first attempt still runs")
+                return self._refuse_as_unknown(request, "the first attempt still runs")
             time.sleep(POLL_S)
 
-    def _unknown(self, request: CallerRequest, message: str) -> CallerAnswer:
+    def _refuse_as_unknown(self, request: CallerRequest, message: str) -> CallerAnswer:
         refusal = Refusal(ErrorCode.OUTCOME_UNKNOWN, message, not_run=False)
         return CallerAnswer.refusal(refusal, request.request_id)
 
@@ -202,7 +206,7 @@
     def __init__(self, answer: CallerAnswer) -> None:
         self._answer = answer
         self._chunks = iter(answer.chunks)
-        self._kept = bytearray()
+        self._stored = bytearray()
         self._complete = True
 
     def __iter__(self) -> Iterator[bytes]:
@@ -210,8 +214,8 @@
 
     def __next__(self) -> bytes:
         chunk = next(self._chunks)
-        if self._complete and len(self._kept) + len(chunk) <= MAX_BODY_BYTES:
-            self._kept += chunk
+        if self._complete and len(self._stored) + len(chunk) <= MAX_BODY_BYTES:
+            self._stored += chunk
         else:
             self._complete = False
         return chunk
@@ -222,14 +226,14 @@
         if close_chunks is not None:
             close_chunks()
 
-    def kept(self) -> StoredAnswer:
+    def stored(self) -> StoredAnswer:
         """Return the answer to keep for repeated requests."""
         answer = self._answer
         state = _final_state(answer.outcome)
         if state is AnswerState.ANSWERED and not self._complete:
             state = AnswerState.UNKNOWN
         headers = tuple(answer.headers)
-        return StoredAnswer(state, answer.status, headers, bytes(self._kept))
+        return StoredAnswer(state, answer.status, headers, bytes(self._stored))
 
 
 def _final_state(outcome: AnswerOutcome) -> AnswerState:
--- a/bamboovale/entry/peer_client.py
+++ b/bamboovale/entry/peer_client.py
@@ -27,7 +27,7 @@
 )
 from bamboovale.views import Views
 
-TIMEOUT_S = 2.0
+REQUEST_TIMEOUT_S = 2.0
 RECORD_FANOUT = 3
 """Peers to which each VM forwards new records, whatever the number of VMs."""
 
@@ -53,16 +53,18 @@
         for vm_id in self._some_peers(RECORD_FANOUT):
             self._links.notify(vm_id, notice)
 
-    def request_catalogue(self, vm_id: str | None, keeper: pykka.ActorRef) -> None:
-        """Request a catalogue snapshot from a peer, any if None, for the keeper."""
+    def request_catalogue(
+        self, vm_id: str | None, catalogue_actor: pykka.ActorRef
+    ) -> None:
+        """Request a catalogue snapshot from a peer, any if None, for the actor."""
         for peer in self._some_peers(1) if vm_id is None else [vm_id]:
             future: Future[Any] = self._links.request(
                 peer,
                 CatalogueQuery(),
-                TIMEOUT_S,
+                REQUEST_TIMEOUT_S,
             )
             tell_result(
-                keeper,
+                catalogue_actor,
                 future,
                 lambda answer: PeerSnapshotReceived(getattr(answer, "snapshot", None)),
             )
@@ -76,7 +78,9 @@
         """Report to a new holder which permits on its engine this VM and peers hold."""
         tell(holder, PermitsReported(own_permits))
         for vm_id in self._all_peers():
-            future = self._links.request(vm_id, PermitsQuery(engine_id), TIMEOUT_S)
+            future = self._links.request(
+                vm_id, PermitsQuery(engine_id), REQUEST_TIMEOUT_S
+            )
             tell_result(holder, future, _permits_reported)
 
     def publish_crash(
@@ -107,18 +111,18 @@
         """Return an attempt's answer from the VM that ran it; may block."""
         if vm_id == self._own_id:
             return self._answers.find(attempt_id)
-        future = self._links.request(vm_id, AnswerQuery(attempt_id), TIMEOUT_S)
+        future = self._links.request(vm_id, AnswerQuery(attempt_id), REQUEST_TIMEOUT_S)
         try:
-            kept = future.result(2 * TIMEOUT_S)
+            stored = future.result(2 * REQUEST_TIMEOUT_S)
         except Exception:  # any failure of the link: the outcome is unknown
             return StoredAnswer(AnswerState.UNKNOWN)
-        if not isinstance(kept, AnswerKept):
+        if not isinstance(stored, AnswerKept):
             return StoredAnswer(AnswerState.UNKNOWN)
         return StoredAnswer(
-            AnswerState(kept.state),
-            kept.status,
-            kept.headers,
-            kept.body,
+            AnswerState(stored.state),
+            stored.status,
+            stored.headers,
+            stored.body,
         )
 
     def _all_peers(self) -> list[str]:
--- a/bamboovale/entry/peer_handler.py
+++ b/bamboovale/entry/peer_handler.py
@@ -108,22 +108,22 @@
         reply(PermitsHeld(query.engine_id, held))
 
     def _on_catalogue_query(self, _: str, __: CatalogueQuery, reply: Reply) -> None:
-        asked = SnapshotRequested(lambda snapshot: reply(CatalogueAnswer(snapshot)))
-        tell(self._targets.catalogue, asked)
+        query = SnapshotRequested(lambda snapshot: reply(CatalogueAnswer(snapshot)))
+        tell(self._targets.catalogue, query)
 
     def _on_revision_query(self, _: str, __: RevisionQuery, reply: Reply) -> None:
         catalogue = self._views.catalogue
         reply(RevisionAnswer(0 if catalogue is None else catalogue.revision))
 
     def _on_answer_query(self, _: str, query: AnswerQuery, reply: Reply) -> None:
-        kept = self._targets.answers.find(query.attempt_id)
+        stored = self._targets.answers.find(query.attempt_id)
         reply(
             AnswerKept(
                 attempt_id=query.attempt_id,
-                state=kept.state.value,
-                status=kept.status,
-                headers=kept.headers,
-                body=kept.body,
+                state=stored.state.value,
+                status=stored.status,
+                headers=stored.headers,
+                body=stored.body,
             )
         )
 
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -30,7 +30,7 @@
 from bamboovale.engines.load_grant_router import LoadGrantRouter
 from bamboovale.engines.load_grants import (
     DumpLoadGrants,
-    LoadGrantKeeper,
+    LoadGrantActor,
     SchedulerLeaseChanged,
 )
 from bamboovale.entry.administration import Administration
@@ -109,7 +109,7 @@
             environment.metrics,
         )
         self._ticker = Ticker()
-        self._engines = VllmEngineClient(self._http)
+        self._engine_client = VllmEngineClient(self._http)
         self._connections = EndpointConnections(settings.address)
         self._disconnects = DisconnectWatcher()
         self._answers = AnswerStore()
@@ -122,7 +122,7 @@
             environment,
             self.views,
             self._policy,
-            self._engines,
+            self._engine_client,
             self._ticker,
         )
         self._peer_client = PeerClient(
@@ -134,7 +134,7 @@
         self._load_grant_router = LoadGrantRouter(
             settings.id, self._links, self._holders
         )
-        self._holder_links = HolderCallbacks(
+        self._holder_callbacks = HolderCallbacks(
             load_grants=self._load_grant_router,
             on_hint=lambda hint: tell(self._membership, HintUpdated(hint)),
             on_started=self._request_permits_held,
@@ -157,8 +157,8 @@
             self._health,
             MembershipCallbacks(
                 send=self._links.notify,
-                on_change=self._on_membership,
-                on_peer_unreachable=self._holders.on_entry_vm_gone,
+                on_change=self._on_views_change,
+                on_peer_unreachable=self._holders.on_entry_vm_unreachable,
                 on_peer_ahead=lambda vm_id, next_offset: tell(
                     self._catalogue,
                     PeerIsAhead(vm_id, next_offset),
@@ -167,7 +167,7 @@
                 on_interval=self.decisions.on_tick,
             ),
         )
-        self._load_grants = LoadGrantKeeper.start(
+        self._load_grants = LoadGrantActor.start(
             environment,
             self.views,
             self._links.notify,
@@ -186,7 +186,7 @@
                 ),
                 seek=lambda offset: self._catalogue_follower.seek(offset),
                 on_version_changed=self._holders.on_version_changed,
-                on_change=self._on_membership,
+                on_change=self._on_views_change,
             ),
         )
         self._leases = LeaseActor.start(
@@ -195,8 +195,8 @@
             self._appender_by_stream[LEASE_STREAM],
             self._health,
             LeaseCallbacks(
-                on_held=self._on_held,
-                on_lost=self._on_lost,
+                on_held=self._on_lease_acquired,
+                on_lost=self._on_lease_lost,
                 on_valid=self._holders.wake,
             ),
         )
@@ -221,7 +221,7 @@
             environment,
             self.views,
             self.decisions,
-            self._engines,
+            self._engine_client,
             self._publish_crash,
         )
         self._caller_app = build_caller_app(
@@ -362,7 +362,7 @@
         tell(self._membership, DrainStarted())
         tell(self._leases, HandOverAll())
         time.sleep(settings.entries_ttl_s + settings.hint_interval_s)
-        self._caller_app.closed = True
+        self._caller_app.stopping = True
         give_up_at = self.environment.now() + settings.drain_timeout_s
         while self._caller_app.running and self.environment.now() < give_up_at:
             time.sleep(DRAIN_POLL_INTERVAL_S)
@@ -387,23 +387,23 @@
 
     # Callbacks between the components; called on their threads, must not block.
 
-    def _on_membership(self) -> None:
+    def _on_views_change(self) -> None:
         self.decisions.on_membership()
         self._holders.on_membership()
 
-    def _on_held(self, engine_id: str, fencing: int, valid: Any) -> None:
+    def _on_lease_acquired(self, engine_id: str, fencing: int, valid: Any) -> None:
         if engine_id == WEIGHT_STORE:
             tell(self._load_grants, SchedulerLeaseChanged(fencing, valid))
             tell(self._catalogue, SnapshotRoleChanged(is_writer=True))
             return
-        self._holders.start(engine_id, fencing, valid, self._holder_links)
+        self._holders.start(engine_id, fencing, valid, self._holder_callbacks)
 
-    def _on_lost(self, engine_id: str) -> None:
+    def _on_lease_lost(self, engine_id: str) -> None:
         if engine_id == WEIGHT_STORE:
             tell(self._load_grants, SchedulerLeaseChanged(None, lambda: False))
             tell(self._catalogue, SnapshotRoleChanged(is_writer=False))
             return
-        self._holders.stop(engine_id, self._holder_links)
+        self._holders.stop(engine_id, self._holder_callbacks)
 
     def _request_permits_held(self, engine_id: str) -> None:
         holder = self._holders.find(engine_id)
