--- a/bamboovale/decisions/slot_planner.py
+++ b/bamboovale/decisions/slot_planner.py
@@ -1,15 +1,14 @@
-"""Which adapters one engine's holder asks to load, and what makes room for them.
-
-Load pattern: more adapters are waited for than slots exist, at a weight store that
-gives a few loads a second and is at times down. Asking for all of them wastes turns;
-evicting before a turn is there leaves a slot empty for nothing; with a dead store,
-evicting for loads that fail would empty the engine. So a holder asks for a turn
-first, evicts only when it has one, and has few loads under way; after a failure it
-has one until a load succeeds.
-
-When running requests pin every slot, new work for the loaded adapters would keep them
-pinned for ever. After some patience the least valued slot takes no new work until it
-can be exchanged ("draining").
+"""Plans the adapter slots of one engine at its lease holder.
+
+More adapters are waited for than slots exist, and the weight store allows a few loads a
+second and may be unavailable. An eviction before a load is granted would leave a slot
+empty, and evictions for loads that fail would empty the engine. A holder therefore
+requests a load grant first, evicts only once it has one, and has few loads in progress;
+after a failure it has one until a load succeeds.
+
+If running requests pin all slots, new requests for loaded adapters would pin them for
+ever. After a while the least valued slot is drained: it gets no new requests until its
+adapter can be exchanged.
 """
 
 from collections.abc import Iterable
@@ -38,34 +37,34 @@
     WorkItem,
 )
 
-LOADS_AT_ONCE = 2
-"""As many as the weight store serves at full speed: more only share its bandwidth."""
-ASKS_AT_ONCE = 8
-"""Enough for the scheduler to choose among; each ask is a small message."""
-ASK_AGAIN_S = 2.0
-"""A turn may get lost with its message; a repeated ask only renews its weight."""
+MAX_CONCURRENT_LOADS = 2
+"""More loads only share the bandwidth of the weight store."""
+MAX_PENDING_REQUESTS = 8
+"""Enough for the load scheduler to choose among."""
+RENEW_AFTER_S = 2.0
+"""Guards against a lost grant: a repeated load request only renews its weight."""
 LOAD_TIME_WEIGHT = 0.3
-"""A wrong setting or a slow store shows after a few loads."""
-FAILURE_IS_NEWS_S = 2 * BACK_OFF_MOST_S
-"""Two of the longest pauses between tries: later a failure says nothing any more."""
-LOAD_GIVEN_UP_S = 60.0
-"""Far above any load; guards against an order whose outcome never came back."""
-PATIENCE_LOADS = 2.0
-"""A slot is drained for work that has waited as long as two loads take."""
-DRAINS_AT_ONCE = 2
-"""Of 8 slots: more would empty the batch while their last requests end."""
+"""Weight of one load in the average load time."""
+FAILURE_VALID_S = 2 * BACK_OFF_MOST_S
+"""Age at which the last failed load no longer predicts failures."""
+LOAD_TIMEOUT_S = 60.0
+"""Guards against an order whose outcome is never reported."""
+DRAIN_AFTER_LOADS = 2.0
+"""Wait of a request, in load times, after which a slot is drained for it."""
+MAX_DRAINING = 2
+"""More would leave much of the batch unused while the last requests end."""
 
 
 @dataclass
-class Ask:
-    """A turn asked for."""
+class PendingRequest:
+    """A pending request for a load grant."""
 
     first_at: float
     sent_at: float
 
 
 class SlotPlanner:
-    """Asks for turns, uses them, and keeps the slots of one engine."""
+    """Requests load grants, uses them and manages the slots of one engine."""
 
     def __init__(
         self,
@@ -86,75 +85,76 @@
         self.may_order = True
         self.may_evict_from = 0.0
         self.draining: set[str] = set()
-        self.ask_by_name: dict[str, Ask] = {}
-        self._asked_at_by_name: dict[str, float] = {}
+        self.request_by_name: dict[str, PendingRequest] = {}
+        self._requested_at_by_name: dict[str, float] = {}
         self._source_by_name: dict[str, str] = {}
-        self._warm: dict[str, None] = {}
+        self._warm_up: dict[str, None] = {}
         self._failing_since: float | None = None
         self._failed_at = 0.0
 
-    # What the holder learns.
+    # Events.
 
     def apply_view(self, view: EngineView, read_at: float, now: float) -> None:
-        """Take over the engine's own list of loaded adapters."""
+        """Apply the engine's list of loaded adapters."""
         self.slots.max_loras = view.max_loras
         self.slots.update_loaded(view.loaded, read_at, now)
 
     def on_restart(self, now: float) -> None:
-        """Start with empty slots; what was in demand is warmed again."""
+        """Start with empty slots; load adapters in demand in advance."""
         self.slots.clear()
         self.draining.clear()
-        self.ask_by_name.clear()
+        self.request_by_name.clear()
         self._failing_since = None
         if self._policy.warms_after_restart:
             known = [
                 n for n in self.value.demand.top(64, now) if n in self._source_by_name
             ]
-            self._warm = dict.fromkeys(known[: max(self.slots.max_loras, 1)])
+            self._warm_up = dict.fromkeys(known[: max(self.slots.max_loras, 1)])
 
     def on_request(self, item: WorkItem, now: float) -> None:
-        """Count a request."""
+        """Count a request for its adapter."""
         name = item.target.lora_name
         self.value.demand.add(name, now)
         self._source_by_name[name] = item.source
 
     def on_new_version(self, name: str, source: str, replaces: str, now: float) -> None:
-        """Expect requests for a new version as many as for the one it replaces."""
+        """Move the demand of the replaced version and load the new one in advance."""
         self._source_by_name[name] = source
         self.value.demand.move(replaces, name, now)
-        self._warm[name] = None
+        self._warm_up[name] = None
 
     def on_granted(self, name: str, now: float) -> None:
-        """Note a grant."""
+        """Record a grant for an adapter."""
         slot = self.slots.loaded.get(name)
         if slot is not None:
             slot.used_at = now
 
     def on_loaded(self, name: str, now: float) -> None:
-        """Note a finished load."""
+        """Record a finished load."""
         seconds = self.slots.load_done(name, now)
         if seconds is not None:
             self._load_time.add(seconds)
             self._failing_since = None
-            asked_at = self._asked_at_by_name.pop(name, None)
-            if asked_at is not None:
-                self.load_wait.add(now - asked_at)
-        self._warm.pop(name, None)
+            requested_at = self._requested_at_by_name.pop(name, None)
+            if requested_at is not None:
+                self.load_wait.add(now - requested_at)
+        self._warm_up.pop(name, None)
 
     def on_load_failed(self, name: str, now: float, wait_s: float) -> None:
-        """Note a failed load; it is tried again also when nobody waits any more.
+        """Record a failed load; it is retried even without a queued request.
 
-        Else a store that refused everybody would never be found mended.
+        Otherwise a recovered weight store would stay undetected while all requests are
+        refused.
         """
         self._failed_at = now
         if self._failing_since is None:
             self._failing_since = now
-            self._warm[name] = None
-        self._asked_at_by_name.pop(name, None)
+            self._warm_up[name] = None
+        self._requested_at_by_name.pop(name, None)
         self.slots.load_failed(name, now, wait_s)
 
     def on_unloaded(self, victim: str, now: float) -> list[Action]:
-        """Use the slot that became free."""
+        """Load the next adapter into the slot that became free."""
         newcomer = self.slots.unload_done(victim, now)
         if newcomer is None:
             return []
@@ -162,36 +162,36 @@
             return [ReturnLoadGrant(newcomer)]
         return self._load(newcomer, now)
 
-    # What may be served.
+    # State.
 
     @property
     def load_seconds(self) -> float:
-        """Return how long a load takes as measured, without the wait for its turn."""
+        """Return the average load time without the wait for a grant."""
         return self._load_time.value
 
     @property
     def grantable(self) -> Iterable[str]:
-        """Return the loaded adapters that take new work."""
+        """Return the loaded adapters that get new requests."""
         if not self.draining:
             return self.slots.loaded.keys()
         return [name for name in self.slots.loaded if name not in self.draining]
 
     @property
     def failing_for_s(self) -> float:
-        """Return how long loads have been seen to fail; zero if the last succeeded."""
+        """Return how long loads have been failing; zero if the last one succeeded."""
         if self._failing_since is None:
             return 0.0
         return self._failed_at - self._failing_since
 
     def coming(self) -> set[str]:
-        """Return the adapters that are asked for or being loaded."""
+        """Return the adapters with a load in progress or requested."""
         newcomers = self.slots.newcomer_by_victim.values()
-        coming = set(self.slots.loading_since) | set(self.ask_by_name)
+        coming = set(self.slots.loading_since) | set(self.request_by_name)
         coming.update(name for name in newcomers if name)
         return coming
 
     def dump(self, now: float) -> dict[str, Any]:
-        """Return the state as JSON, each loaded adapter with its worth."""
+        """Return the state as JSON, each loaded adapter with its value."""
         loaded = sorted(self.slots.loaded)
         return {
             "may_order": self.may_order,
@@ -202,32 +202,31 @@
             "loading": sorted(self.slots.loading_since),
             "evicting": dict(self.slots.newcomer_by_victim),
             "draining": sorted(self.draining),
-            "asked": sorted(self.ask_by_name),
+            "asked": sorted(self.request_by_name),
             "load_wait_s": round(self.load_wait.value, 3),
             "failing_for_s": round(self.failing_for_s, 3),
         }
 
-    # What it decides.
+    # Decisions.
 
     def plan(self, now: float) -> list[Action]:
-        """Ask for turns for what is worth a load."""
+        """Request load grants for the adapters that are worth one."""
         if not self.may_order or not self.slots.max_loras:
             return []
         missing = self._missing(now)
-        self._stop_asking(missing)
-        actions = self._renew_asks(missing, now) + self._ask_more(missing, now)
+        self._drop_requests(missing)
+        actions = self._renew_requests(missing, now) + self._add_requests(missing, now)
         self._plan_drain(missing, now)
         return actions
 
     def on_load_grant(self, name: str, now: float) -> list[Action]:
-        """Use a turn at the weight store: evict or load, or give it back.
+        """Use a load grant: evict or load, or return the grant.
 
-        A turn is a turn: if its adapter needs none any more, the best other one
-        takes it.
+        If the adapter no longer needs the grant, the most valued missing one uses it.
         """
-        ask = self.ask_by_name.pop(name, None)
+        request = self.request_by_name.pop(name, None)
         unused: list[Action] = [ReturnLoadGrant(name)]
-        if not self.may_order or self._loads_under_way() >= self._loads_allowed():
+        if not self.may_order or self._loads_in_progress() >= self._max_loads():
             return unused
         missing = self._missing(now)
         if name not in missing:
@@ -235,33 +234,33 @@
         if not name:
             return unused
         if self.slots.free:
-            self._asked_at_by_name[name] = ask.first_at if ask else now
+            self._requested_at_by_name[name] = request.first_at if request else now
             return self._load(name, now)
         victim = self._victim(missing[name], self.evictable(now), now)
         if victim is None:
             return unused
-        self._asked_at_by_name[name] = ask.first_at if ask else now
+        self._requested_at_by_name[name] = request.first_at if request else now
         self.draining.discard(victim)
         self.slots.order_unload(victim, name)
         return [Unload(victim)]
 
     def on_tick(self, now: float) -> None:
-        """Forget what is old and give up orders whose outcome never came."""
+        """Remove old state and give up orders without an outcome."""
         self.slots.forget_back_offs(now)
-        if now - self._failed_at > FAILURE_IS_NEWS_S:
-            # No load was tried for long, so nothing would end the refusals.
+        if now - self._failed_at > FAILURE_VALID_S:
+            # Without a load attempt no event would end the refusals.
             self._failing_since = None
         self.value.demand.prune(now)
         for name, since in list(self.slots.loading_since.items()):
-            if now - since > LOAD_GIVEN_UP_S:
+            if now - since > LOAD_TIMEOUT_S:
                 self.on_load_failed(name, now, 0.0)
         if len(self._source_by_name) > 2 * len(self.value.demand) + 64:
             self._forget_sources()
 
     def _missing(self, now: float) -> dict[str, float]:
-        """Return wanted adapters that are neither loaded nor coming, best first."""
-        names = set(self._queue.lora_names) | set(self._warm)
-        worth_by_name = {
+        """Return wanted adapters that are neither loaded nor coming, by value."""
+        names = set(self._queue.lora_names) | set(self._warm_up)
+        value_by_name = {
             name: self.value.of_newcomer(name, now)
             for name in names
             if name not in self.slots.loaded
@@ -269,53 +268,55 @@
             and not self.slots.is_coming(name)
             and not self.slots.backs_off(name, now)
         }
-        ranked = sorted(worth_by_name, key=lambda name: (-worth_by_name[name], name))
-        return {name: worth_by_name[name] for name in ranked}
+        ranked = sorted(value_by_name, key=lambda name: (-value_by_name[name], name))
+        return {name: value_by_name[name] for name in ranked}
 
-    def _stop_asking(self, missing: dict[str, float]) -> None:
-        for name in list(self.ask_by_name):
+    def _drop_requests(self, missing: dict[str, float]) -> None:
+        for name in list(self.request_by_name):
             if name not in missing:
-                del self.ask_by_name[name]
+                del self.request_by_name[name]
 
-    def _renew_asks(self, missing: dict[str, float], now: float) -> list[Action]:
+    def _renew_requests(self, missing: dict[str, float], now: float) -> list[Action]:
         actions: list[Action] = []
-        for name, ask in self.ask_by_name.items():
-            if now - ask.sent_at >= ASK_AGAIN_S:
-                ask.sent_at = now
+        for name, request in self.request_by_name.items():
+            if now - request.sent_at >= RENEW_AFTER_S:
+                request.sent_at = now
                 actions.append(RequestLoadGrant(name, missing[name]))
         return actions
 
-    def _ask_more(self, missing: dict[str, float], now: float) -> list[Action]:
-        """Ask for the best; where one is not worth a slot, no later one is."""
+    def _add_requests(self, missing: dict[str, float], now: float) -> list[Action]:
+        """Request grants in order of value, until one is not worth a slot."""
         actions: list[Action] = []
         evictable = self.evictable(now)
-        for name, worth in missing.items():
-            if name in self.ask_by_name:
+        for name, newcomer_value in missing.items():
+            if name in self.request_by_name:
                 continue
-            if len(self.ask_by_name) >= self._asks_allowed(worth, evictable, now):
+            if len(self.request_by_name) >= self._max_requests(
+                newcomer_value, evictable, now
+            ):
                 break
-            self.ask_by_name[name] = Ask(first_at=now, sent_at=now)
-            actions.append(RequestLoadGrant(name, worth))
+            self.request_by_name[name] = PendingRequest(first_at=now, sent_at=now)
+            actions.append(RequestLoadGrant(name, newcomer_value))
         return actions
 
-    def _asks_allowed(
+    def _max_requests(
         self,
-        worth: float,
+        newcomer_value: float,
         evictable: dict[str, Slot],
         now: float,
     ) -> int:
-        if self._loads_under_way() >= self._loads_allowed():
+        if self._loads_in_progress() >= self._max_loads():
             return 0
         room = self.slots.free
-        if self._victim(worth, evictable, now) is not None:
+        if self._victim(newcomer_value, evictable, now) is not None:
             room += len(evictable)
-        return min(ASKS_AT_ONCE, room)
+        return min(MAX_PENDING_REQUESTS, room)
 
-    def _loads_under_way(self) -> int:
+    def _loads_in_progress(self) -> int:
         return len(self.slots.loading_since) + len(self.slots.newcomer_by_victim)
 
-    def _loads_allowed(self) -> int:
-        return LOADS_AT_ONCE if self._failing_since is None else 1
+    def _max_loads(self) -> int:
+        return MAX_CONCURRENT_LOADS if self._failing_since is None else 1
 
     def evictable(self, now: float) -> dict[str, Slot]:
         """Return the slots that no request uses or is about to use."""
@@ -324,13 +325,13 @@
         return {
             name: slot
             for name, slot in self.slots.loaded.items()
-            if not self._permits.is_pinned(name) and not self._not_served_yet(name)
+            if not self._permits.is_pinned(name) and not self._is_awaiting_place(name)
         }
 
-    def _not_served_yet(self, name: str) -> bool:
-        """Say whether work that an adapter was loaded for still waits for a place.
+    def _is_awaiting_place(self, name: str) -> bool:
+        """Return whether the requests that caused a load still wait for a place.
 
-        Evicting it would waste the load, and the same work would ask for it again.
+        Guards against evicting the adapter before any of them has run.
         """
         slot = self.slots.loaded[name]
         fresh = slot.used_at <= slot.loaded_at and name not in self.draining
@@ -338,7 +339,7 @@
 
     def _victim(
         self,
-        worth: float,
+        newcomer_value: float,
         evictable: dict[str, Slot],
         now: float,
     ) -> str | None:
@@ -347,7 +348,7 @@
             return drained[0]
         return self._rule.victim(
             evictable,
-            worth,
+            newcomer_value,
             lambda name: self.value.of_slot(name, now),
             now - RESIDENCE_LOADS * self.load_seconds,
         )
@@ -360,23 +361,23 @@
         return [Load(name, source)]
 
     def _plan_drain(self, missing: dict[str, float], now: float) -> None:
-        needy = [name for name in missing if name not in self.ask_by_name]
-        if not needy:
+        unrequested = [name for name in missing if name not in self.request_by_name]
+        if not unrequested:
             self.draining.clear()
             return
-        if not self._rule.drains or len(self.draining) >= DRAINS_AT_ONCE:
+        if not self._rule.drains or len(self.draining) >= MAX_DRAINING:
             return
-        if self.slots.free or self._loads_under_way() >= self._loads_allowed():
+        if self.slots.free or self._loads_in_progress() >= self._max_loads():
             return
-        waiting = self._queue.waiting_for(needy[0])
+        waiting = self._queue.waiting_for(unrequested[0])
         if not waiting or now < self.may_evict_from:
             return
         oldest = min(item.arrived_at for item in waiting)
-        if now - oldest < PATIENCE_LOADS * self.load_seconds:
+        if now - oldest < DRAIN_AFTER_LOADS * self.load_seconds:
             return
-        self._start_drain(missing[needy[0]], now)
+        self._start_drain(missing[unrequested[0]], now)
 
-    def _start_drain(self, worth: float, now: float) -> None:
+    def _start_drain(self, newcomer_value: float, now: float) -> None:
         value_by_name = {
             name: self.value.of_slot(name, now)
             for name in self.slots.loaded
@@ -385,11 +386,11 @@
         if not value_by_name:
             return
         least = min(value_by_name, key=lambda name: (value_by_name[name], name))
-        if worth > value_by_name[least] * EXCHANGE_FACTOR:
+        if newcomer_value > value_by_name[least] * EXCHANGE_FACTOR:
             self.draining.add(least)
 
     def _forget_sources(self) -> None:
-        keep = set(self.value.demand) | set(self._queue.lora_names) | set(self._warm)
+        keep = set(self.value.demand) | set(self._queue.lora_names) | set(self._warm_up)
         for name in list(self._source_by_name):
             if name not in keep:
                 del self._source_by_name[name]
