--- a/bamboovale/decisions/dispatch.py
+++ b/bamboovale/decisions/dispatch.py
@@ -182,7 +182,7 @@
         seconds = self._permits.seconds_held(permit_id, now)
         permit = self._permits.release(permit_id, now)
         if permit is not None:
-            self._slot_forecast.released(permit.lora_name, now)
+            self._slot_forecast.on_released(permit.lora_name, now)
             self._wait_forecast.served(permit_class(permit), seconds)
         return self._decide(now)
 
--- a/bamboovale/decisions/mechanisms.py
+++ b/bamboovale/decisions/mechanisms.py
@@ -1,7 +1,7 @@
-"""Mechanisms of the decisions about engines that an experiment can switch off.
+"""Mechanisms of the engine decisions that an experiment can switch off.
 
-What a mechanism is worth shows only without it. All are on unless an operator names
-some to be left out; a service that callers depend on leaves none out.
+All are on unless an operator names some to leave out. A deployment that serves callers
+leaves out none.
 """
 
 from collections.abc import Iterable
@@ -10,7 +10,7 @@
 
 
 class Mechanism(Enum):
-    """What can be switched off, by its name in settings and experiment files."""
+    """A mechanism, by its name in settings and experiment files."""
 
     PACING = "pacing"
     READING_SPEED = "reading-speed"
@@ -23,17 +23,17 @@
 
 @dataclass(frozen=True)
 class Mechanisms:
-    """Which mechanisms are switched off."""
+    """The set of mechanisms that are switched off."""
 
     off: frozenset[Mechanism] = frozenset()
 
     @classmethod
     def without(cls, names: Iterable[str]) -> "Mechanisms":
-        """Leave out what is named; raises ValueError for a name that is none."""
+        """Switch off the named mechanisms; raise ValueError for an unknown name."""
         return cls(frozenset(Mechanism(name) for name in names))
 
     def has(self, mechanism: Mechanism) -> bool:
-        """Tell whether a mechanism is on."""
+        """Return whether a mechanism is on."""
         return mechanism not in self.off
 
 
