--- a/bamboovale/decisions/permits.py
+++ b/bamboovale/decisions/permits.py
@@ -1,9 +1,9 @@
-"""The permits of one engine: who may use a place, and which adapters are pinned.
+"""The permits of one engine: places in use and pinned adapters.
 
-Load pattern: entry VMs that die, fall silent or cut a stream while the engine still
-runs the request. Without care its place is given twice, or its adapter is evicted
-under it. A permit that did not end cleanly therefore *lingers*: it keeps its place
-and pin until a later look at the engine no longer lists the request.
+Guards against granting a place twice, or evicting an adapter in use, after an entry VM
+died, became unreachable or broke a stream while the engine still runs the request. A
+permit that did not end cleanly *lingers*: it keeps its place and pin until a later view
+of the engine no longer lists the request.
 """
 
 from collections import Counter
@@ -13,20 +13,20 @@
 
 from bamboovale.decisions.work import EngineView, Permit
 
-REMEMBER_RELEASED_S = 10.0
-"""Longer than any read of the engine's state takes; older reads are given up."""
+RELEASED_RETENTION_S = 10.0
+"""Longer than any read of the engine's state takes."""
 
 
 @dataclass(frozen=True)
 class Lingering:
-    """A permit whose request may still run; earlier looks prove nothing."""
+    """A permit whose request may still run; views read earlier prove nothing."""
 
     permit: Permit
     not_before: float
 
 
 class PermitBook:
-    """Permits, lingering permits and runs that this holder did not permit."""
+    """Permits, lingering permits and runs without a permit of this holder."""
 
     def __init__(self) -> None:
         self.permit_by_id: dict[str, Permit] = {}
@@ -38,7 +38,7 @@
 
     @property
     def used_places(self) -> int:
-        """Return the places taken or possibly taken."""
+        """Return the places that are or may be in use."""
         return (
             len(self.permit_by_id)
             + len(self.lingering_by_id)
@@ -46,11 +46,11 @@
         )
 
     def is_pinned(self, lora_name: str) -> bool:
-        """Say whether a request that uses the adapter runs or may run."""
+        """Return whether a request that uses the adapter runs or may run."""
         return self._pins[lora_name] > 0
 
     def holds(self, permit_id: str) -> bool:
-        """Say whether the permit's request runs or may run."""
+        """Return whether the permit's request runs or may run."""
         return permit_id in self.permit_by_id or permit_id in self.lingering_by_id
 
     def seconds_held(self, permit_id: str, now: float) -> float:
@@ -58,7 +58,7 @@
         return now - self._held_since_by_id.get(permit_id, now)
 
     def add(self, permit: Permit, now: float) -> None:
-        """Keep a permit given by this holder or adopted from its predecessor."""
+        """Add a permit of this holder or one adopted from its predecessor."""
         if permit.permit_id in self.permit_by_id:
             return
         lingering = self.lingering_by_id.pop(permit.permit_id, None)
@@ -69,7 +69,7 @@
         self._drop_foreign(permit.request_id)
 
     def release(self, permit_id: str, now: float) -> Permit | None:
-        """End a permit whose request is over; None if it is not known."""
+        """Remove a permit whose request ended; return None if it is unknown."""
         permit = self.permit_by_id.pop(permit_id, None)
         if permit is None:
             return None
@@ -79,7 +79,7 @@
         return permit
 
     def linger(self, permit_id: str, not_before: float) -> Permit | None:
-        """Keep place and pin until the engine is seen without the request."""
+        """Keep place and pin until a view shows that the request ended."""
         permit = self.permit_by_id.pop(permit_id, None)
         if permit is not None:
             self._held_since_by_id.pop(permit_id, None)
@@ -93,11 +93,11 @@
                 self.linger(permit.permit_id, not_before)
 
     def linger_unseen(self, view: EngineView, sent_before: float) -> None:
-        """End permits whose release was lost with its message.
+        """Let permits linger whose release message was lost.
 
-        The engine does not list the request, nothing waits inside the engine, and
-        the time in which it could still have been sent has passed: the run is over.
-        Without this a lost message would take a place and a pin for ever.
+        The run is over if the engine does not list the request, no request waits inside
+        the engine, and the request can no longer be sent. Guards against a place and a
+        pin that are never freed.
         """
         if view.waiting:
             return
@@ -107,13 +107,13 @@
                 self.linger(permit_id, not_before=sent_before)
 
     def drop_other_boots(self, boot_id: str) -> None:
-        """Drop permits that were adopted before the engine's boot was known."""
+        """Release permits that were adopted for another boot of the engine."""
         for permit in list(self.permit_by_id.values()):
             if permit.boot_id != boot_id:
                 self.release(permit.permit_id, 0.0)
 
     def apply_view(self, view: EngineView, read_at: float) -> None:
-        """Compare with what the engine runs."""
+        """Compare the permits with the runs that the engine lists."""
         self._end_lingering(view, read_at)
         known = self._known_request_ids()
         for request_id in list(self.foreign_by_request_id):
@@ -124,10 +124,10 @@
                 continue
             self.foreign_by_request_id[request_id] = lora_name
             self._pins[lora_name] += 1
-        self._forget_released(read_at)
+        self._remove_old_released(read_at)
 
     def clear(self) -> None:
-        """Forget all: the engine restarted, so nothing of the old boot runs."""
+        """Remove all permits: after a restart no earlier request runs."""
         self.permit_by_id.clear()
         self._held_since_by_id.clear()
         self.lingering_by_id.clear()
@@ -144,8 +144,8 @@
 
     def _end_lingering(self, view: EngineView, read_at: float) -> None:
         for permit_id, lingering in list(self.lingering_by_id.items()):
-            seen_over = lingering.permit.request_id not in view.running_by_request_id
-            if seen_over and read_at >= lingering.not_before:
+            has_ended = lingering.permit.request_id not in view.running_by_request_id
+            if has_ended and read_at >= lingering.not_before:
                 del self.lingering_by_id[permit_id]
                 self._unpin(lingering.permit.lora_name)
 
@@ -167,7 +167,7 @@
         if self._pins[lora_name] <= 0:
             del self._pins[lora_name]
 
-    def _forget_released(self, read_at: float) -> None:
+    def _remove_old_released(self, read_at: float) -> None:
         for request_id, at in list(self._released_at_by_request_id.items()):
-            if at < read_at - REMEMBER_RELEASED_S:
+            if at < read_at - RELEASED_RETENTION_S:
                 del self._released_at_by_request_id[request_id]
--- a/bamboovale/decisions/place_work.py
+++ b/bamboovale/decisions/place_work.py
@@ -1,4 +1,4 @@
-"""Requests for places at an engine, what is decided on them, and what engines hold."""
+"""Requests for places at an engine, decisions on them, and the state of engines."""
 
 from dataclasses import dataclass
 from enum import Enum, auto
@@ -8,11 +8,12 @@
 
 @dataclass(frozen=True)
 class QueuedRequest:
-    """A request that wants a place; times are seconds on the owner's clock.
+    """A request for a place; times are seconds on the owner's clock.
 
-    ``rank`` orders by urgency, 0 first. ``latest_start`` is when a start would be too
-    late for the caller. ``adapter`` None asks for the base model itself. ``pause_s`` is
-    the longest good pause between the events of its answer.
+    ``rank`` orders by urgency, 0 first. ``goal_at`` is the time by which the first
+    event should come, ``latest_start`` the time after which a start is useless to the
+    caller. ``adapter`` is None for the base model. ``pause_s`` is the longest allowed
+    pause between the events of its answer.
     """
 
     ask_id: str
@@ -34,7 +35,7 @@
 
     @property
     def request_id(self) -> str:
-        """Return the request's id, which the engine knows; an ask has a number more."""
+        """Return the request's id at the engine: ``ask_id`` without its number."""
         return self.ask_id.rpartition(".")[0]
 
     @property
@@ -47,8 +48,8 @@
 class Grant:
     """The request may be sent; the engine holds this version.
 
-    ``confirmed`` is False while no report has shown the adapter's load to be complete.
-    ``paced_s`` is for how long only the pauses of other streams kept it waiting.
+    ``confirmed`` is False until a report shows the adapter as loaded. ``paced_s`` is
+    how long only pacing kept the request waiting.
     """
 
     request: QueuedRequest
@@ -58,7 +59,7 @@
 
 
 class RefusalReason(Enum):
-    """Why a place is not given."""
+    """Why a place is refused."""
 
     LATE = auto()
     FULL = auto()
@@ -67,7 +68,7 @@
 
 @dataclass(frozen=True)
 class Refuse:
-    """The request was not sent; it may come back after ``retry_after_s``."""
+    """The request is refused unsent; a retry may succeed after ``retry_after_s``."""
 
     request: QueuedRequest
     reason: RefusalReason
@@ -76,7 +77,7 @@
 
 @dataclass(frozen=True)
 class OrderLoad:
-    """Ask the engine to load an adapter, or to replace it with another version."""
+    """Order the engine to load an adapter, or to replace its version."""
 
     model: str
     adapter: str | None
@@ -85,7 +86,7 @@
 
 @dataclass(frozen=True)
 class OrderUnload:
-    """Ask the engine to drop an adapter or a model."""
+    """Order the engine to unload an adapter or a model."""
 
     model: str
     adapter: str | None
@@ -96,7 +97,7 @@
 
 @dataclass(frozen=True)
 class ReportedState:
-    """What the engine reports: what it holds and loads, and the requests it runs."""
+    """State that an engine reports: loaded and loading adapters, and its runs."""
 
     version_by_model: dict[str, int]
     version_by_adapter: dict[AdapterKey, int]
@@ -121,14 +122,13 @@
 
 @dataclass(frozen=True)
 class EngineSnapshot:
-    """What entry VMs choose an engine by.
-
-    ``backlog_s`` is how long a new prompt waits for those sent and queued before it, or
-    by how much first events come late. ``open_slots`` are the slots that one more
-    adapter could have now, less the adapters that wait for one: negative while there
-    are more of these. ``kept`` is how many adapters, the latest ones, the engine is
-    taken to keep in its own memory. ``s_per_token`` is how long it reads a token of a
-    prompt, ``held_up`` whether reading has held its streams up of late.
+    """State of an engine by which entry VMs choose one.
+
+    ``backlog_s`` is how long a new prompt waits for earlier ones, or how late first
+    events are. ``open_slots`` is the number of slots for one more adapter, less the
+    adapters that wait for one; it may be negative. ``kept`` is how many recent adapters
+    the engine is assumed to cache. ``s_per_token`` is the prefill time of a token.
+    ``held_up`` is True if prefill has recently stalled its streams.
     """
 
     loaded: dict[AdapterKey, int]
--- a/bamboovale/decisions/policy.py
+++ b/bamboovale/decisions/policy.py
@@ -1,9 +1,8 @@
-"""The bundle of rules that drive an engine's decisions: the chosen one and a baseline.
+"""Bundles of rules that drive the decisions for an engine.
 
-Both drive the same aggregates, so that a measured difference is the rules' own.
-``stall_weight`` is the one setting of a deployment: 1 cares for load stalls alone
-(Lernwerk: parents and tutors wait), 0 for full batches alone (Galley Exchange: long
-jobs fill the engines).
+The chosen rules and a baseline drive the same code, so that measured differences come
+from the rules. ``stall_weight`` is set per deployment: 1 minimises load stalls only, 0
+maximises full batches only.
 """
 
 from collections.abc import Callable
@@ -17,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Policy:
-    """Rules by name; the factories give each engine rules of its own."""
+    """Rules by name; the factories create separate rules for each engine."""
 
     name: str
     stall_weight: float
@@ -30,7 +29,7 @@
 
     @classmethod
     def chosen(cls, stall_weight: float = DEFAULT_STALL_WEIGHT) -> "Policy":
-        """Return the rules that the entry VMs run with."""
+        """Return the rules that entry VMs use by default."""
         return cls(
             name="chosen",
             stall_weight=stall_weight,
@@ -44,7 +43,7 @@
 
     @classmethod
     def baseline(cls) -> "Policy":
-        """Return least loaded, LRU slots, first come first served, no refusal."""
+        """Return least loaded placement, LRU slots, arrival order and no refusals."""
         return cls(
             name="baseline",
             stall_weight=DEFAULT_STALL_WEIGHT,
@@ -58,7 +57,7 @@
 
     @classmethod
     def from_name(cls, name: str, stall_weight: float) -> "Policy":
-        """Return a policy by its name, as a setting gives it."""
+        """Return a policy by its name; raise ValueError for an unknown one."""
         if name == "baseline":
             return cls.baseline()
         if name == "chosen":
