--- a/tests/test_decisions_placement.py
+++ b/tests/test_decisions_placement.py
@@ -1,4 +1,4 @@
-"""Where entry VMs send an adapter's requests, and how that changes."""
+"""Tests of where entry VMs send the requests of an adapter."""
 
 import random
 
@@ -58,7 +58,7 @@
 
 
 class TestRendezvous:
-    """Every entry VM works out the same order; a lost engine moves only its own."""
+    """Guards against a lost engine that moves adapters of other engines."""
 
     def test_lost_member_moves_only_its_keys(self) -> None:
         order = RendezvousOrder(ENGINES)
@@ -73,18 +73,18 @@
 
 
 class TestChoice:
-    """The cheapest engine by what is known; never one that is not live."""
+    """Guards against choosing a costlier engine or one that is not live."""
 
-    def test_same_engine_for_cold_adapter_at_every_entry(self) -> None:
+    def test_same_engine_for_cold_adapter_at_every_entry_vm(self) -> None:
         chosen = {choose(make_placement(), "cold") for _ in range(3)}
         assert len(chosen) == 1
 
-    def test_goes_where_it_is_loaded(self) -> None:
+    def test_an_engine_with_the_adapter_loaded_is_chosen(self) -> None:
         placement = make_placement()
         placement.on_hint(make_hint("tutor-llm-4", loaded=("a@1",)), 0.1)
         assert choose(placement, "a") == "tutor-llm-4"
 
-    def test_busy_engine_loses_to_a_load(self) -> None:
+    def test_a_load_is_preferred_to_a_busy_engine(self) -> None:
         placement = make_placement()
         busy = make_hint(
             "tutor-llm-4",
@@ -104,7 +104,7 @@
         placement.on_hint(make_hint("tutor-llm-4", loaded=("a@1",)), 0.2)
         assert choose(placement, "a") != "tutor-llm-4"
 
-    def test_hint_of_deposed_holder_is_ignored(self) -> None:
+    def test_hint_of_previous_holder_is_ignored(self) -> None:
         placement = make_placement()
         placement.on_hint(make_hint("tutor-llm-4", fencing=9, loaded=("a@1",)), 0.1)
         placement.on_hint(make_hint("tutor-llm-4", fencing=3), 0.2)
@@ -125,7 +125,7 @@
 
 
 class TestCopies:
-    """A hot adapter gets copies and gives them back when it cools."""
+    """Guards against too few copies of a hot adapter and too many of a cold one."""
 
     def test_grow_and_shrink(self) -> None:
         placement = make_placement()
