--- a/bamboovale/decisions/prefill_speed.py
+++ b/bamboovale/decisions/prefill_speed.py
@@ -1,72 +1,64 @@
-"""How fast one engine reads prompts, learned from its first events.
+"""Prefill speed of one engine, learned from its first events.
 
-Load pattern: engines of one pool differ in speed, and some turn slow for a while. A
-fixed figure paces the fast ones too much and the slow ones too little: with a speed
-fixed at 20,000 tokens a second, engines that read twice as fast served 0.51 of their
-worth where they had served 0.69.
+Engines of one pool differ in speed, and some become slow for a while. A fixed speed
+would pace fast ones too much and slow ones too little.
 
-A first event comes after a fixed time (the step under way, the way there and back) and
-the reading of the prompt. Both move by a bounded step with each prompt that was read
-alone, towards a quantile of what was seen. Some prompts tell little: one whose first
-parts are cached is read in no time, one that meets a fault takes seconds. A fit by
-least squares followed them to 400,000 tokens a second at engines that read 17,000, and
-three in ten streams paused too long there; a quantile does not.
+A first event comes after a fixed time (the current step and the round trip) and the
+prefill of the prompt. Both estimates move by a bounded step towards a quantile with
+each prompt that was alone. A quantile is robust against outliers: a cached prompt takes
+almost no time, one that meets a fault takes seconds.
 """
 
 from bamboovale.decisions.estimates import MovingAverage
 
-GUESS_S_PER_TOKEN = 1 / 20_000
-GUESS_FIXED_S = 0.025
-"""Until prompts have been seen; engines of four deployments read 13 to 39 tokens a ms
-and take 5 to 15 ms a step."""
-GUESS_TOKENS = 1000.0
+INITIAL_S_PER_TOKEN = 1 / 20_000
+INITIAL_FIXED_S = 0.025
+"""Estimates until prompts have been seen."""
+INITIAL_TOKENS = 1000.0
 QUANTILE = 0.6
-"""Above the middle: cached prompts are read sooner, and the steps that a prompt is read
-in take their time as well. With 0.5 two heavy days served 0.02 and 0.04 less of their
-worth."""
+"""Above the median, since cached prompts take less time than their length implies."""
 RATE = 0.08
-"""Of the estimate, for a prompt of usual length. Halved and doubled, 0.86 and 0.83 of
-the worth were served in the play of nine engines, 0.88 as it is (four seeds)."""
+"""Relative step of the estimates for a prompt of average length."""
 FIRST_RATE = 0.4
-"""The first prompts move it by more; their share falls with their number."""
+"""Larger relative step of the first prompts, divided by their number."""
 FIXED_RATE = 0.3
-"""Of the rate, for the fixed time, which differs less between engines."""
-MOST_WEIGHT = 2.0
-"""A prompt of more than twice the usual length counts as twice."""
-FASTEST_S_PER_TOKEN = 1 / 100_000
-SLOWEST_S_PER_TOKEN = 1 / 1000
+"""Share of the step for the fixed time, which varies less between engines."""
+MAX_WEIGHT = 2.0
+"""Bound on the weight of a long prompt."""
+MIN_S_PER_TOKEN = 1 / 100_000
+MAX_S_PER_TOKEN = 1 / 1000
 FIXED_BOUNDS_S = (0.005, 0.5)
 
 
 class PrefillSpeed:
-    """A quantile line through (tokens, seconds)."""
+    """A quantile regression line through (tokens, seconds)."""
 
     def __init__(self) -> None:
-        self.s_per_token = GUESS_S_PER_TOKEN
-        self.fixed_s = GUESS_FIXED_S
-        self._usual_tokens = MovingAverage(GUESS_TOKENS)
-        self._seen = 0
+        self.s_per_token = INITIAL_S_PER_TOKEN
+        self.fixed_s = INITIAL_FIXED_S
+        self._average_tokens = MovingAverage(INITIAL_TOKENS)
+        self._samples = 0
 
     def prefill_s(self, tokens: int) -> float:
-        """Return how long a prompt keeps the engine reading."""
+        """Return the expected prefill time of a prompt."""
         return tokens * self.s_per_token
 
     def first_event_s(self, tokens: int) -> float:
-        """Return from sending a prompt to its first event, at an idle engine."""
+        """Return the expected time to the first event at an idle engine."""
         return self.fixed_s + self.prefill_s(tokens)
 
     def add(self, tokens: int, seconds: float) -> None:
-        """Count a prompt that was read alone."""
+        """Add the time to the first event of a prompt that was alone."""
         if tokens <= 0:
             return
-        self._seen += 1
-        self._usual_tokens.add(tokens)
+        self._samples += 1
+        self._average_tokens.add(tokens)
         above = seconds > self.first_event_s(tokens)
         towards = QUANTILE if above else QUANTILE - 1.0
-        step = towards * max(RATE, FIRST_RATE / self._seen)
-        length = tokens / self._usual_tokens.value
-        slope = self.s_per_token * (1.0 + step * min(MOST_WEIGHT, length))
-        fixed_step = FIXED_RATE * step * min(MOST_WEIGHT, 1.0 / length)
+        step = towards * max(RATE, FIRST_RATE / self._samples)
+        length = tokens / self._average_tokens.value
+        slope = self.s_per_token * (1.0 + step * min(MAX_WEIGHT, length))
+        fixed_step = FIXED_RATE * step * min(MAX_WEIGHT, 1.0 / length)
         fixed_s = self.fixed_s * (1.0 + fixed_step)
-        self.s_per_token = min(SLOWEST_S_PER_TOKEN, max(FASTEST_S_PER_TOKEN, slope))
+        self.s_per_token = min(MAX_S_PER_TOKEN, max(MIN_S_PER_TOKEN, slope))
         self.fixed_s = min(FIXED_BOUNDS_S[1], max(FIXED_BOUNDS_S[0], fixed_s))
--- a/bamboovale/decisions/prompt_pacing.py
+++ b/bamboovale/decisions/prompt_pacing.py
@@ -1,18 +1,13 @@
-"""When an engine may begin to read another prompt without holding up its streams.
+"""Delays the prefill of prompts so that it does not stall running streams.
 
-Load pattern: prompts that arrive in clumps. An engine reads prompts in pieces between
-the tokens of its running streams. A few prompts begun together make several steps in a
-row long, and every stream of the batch pauses for longer than its route allows: one
-clump spoils all of them, while its own first events would have been in time had they
-waited a little.
+An engine processes prompts in chunks between the tokens of its running streams. Several
+prompts at once make consecutive steps long, so that all streams of the batch stall for
+longer than their routes allow.
 
-Of any stretch as long as the allowed pause, reading may take only what the steps of one
-event leave. Prompts that would take more wait; nothing is held back while the engine
-has read little of late. A prompt that is longer than that by itself begins once the
-stretch before it is free.
-
-Without it 0.58 of what a heavy day could earn was served, with it 0.77, at 6.5 prompts
-a second and engine with a pause of 0.3 s.
+In any time window as long as the allowed pause, prefill may take only what the steps of
+one event leave. Prompts that would take more wait; none waits while there was little
+prefill recently. A prompt that exceeds the share by itself starts after a window
+without prefill.
 """
 
 from collections import deque
@@ -22,21 +17,19 @@
 from bamboovale.decisions.stall_detector import StallDetector
 
 PAUSE_SHARE = 0.8
-"""Of the allowed pause, what reading may take: three steps of an event take a tenth to
-a seventh of it, the rest is for what the estimate of a prompt's reading misses. With
-0.6 heavy days served 0.03 less of their worth; 0.72 and 0.85 made no difference."""
-CLEAR_SHARE = 0.15
-"""Of the allowed pause, for how long nothing is read before a prompt that takes more
-than its share by itself: running streams get an event in between."""
-LOOK_AGAIN_S = 0.003
-"""Rounding and timers: looked at again no sooner than this."""
-KEPT_S = 2.0
-"""Spans that ended longer ago than any allowed pause are of no use."""
+"""Share of the allowed pause for prefill; the rest is for steps and for errors of the
+estimate."""
+GAP_SHARE = 0.15
+"""Share of the allowed pause without prefill before a long prompt."""
+MIN_WAIT_S = 0.003
+"""Shortest wait before the next decision."""
+SPAN_RETENTION_S = 2.0
+"""Longer than any allowed pause."""
 
 
 @dataclass
-class _Span:
-    """A prompt's reading as expected, found by ``ask_id`` at its first event."""
+class _PrefillSpan:
+    """The expected prefill of a prompt, found by ``ask_id`` at its first event."""
 
     ask_id: str
     tokens: int
@@ -46,30 +39,30 @@
 
 
 class PromptPacing:
-    """What one engine has read lately and reads now; times on its owner's clock.
+    """Recent and pending prefill of one engine; times on its owner's clock.
 
-    ``pool_held_up`` tells that reading holds up the streams of a part of the pool's
-    engines: they are alike, and each would spoil a batch of its own to learn it.
+    ``pool_stalled`` is True while prefill stalls the streams of many engines of the
+    pool.
     """
 
     def __init__(self) -> None:
         self.speed = PrefillSpeed()
         self.stall_detector = StallDetector()
         self.pool_stalled = False
-        self._spans: deque[_Span] = deque()
+        self._spans: deque[_PrefillSpan] = deque()
 
     def prefill_s(self, tokens: int) -> float:
-        """Return how long the engine reads a prompt."""
+        """Return the expected prefill time of a prompt."""
         return self.speed.prefill_s(tokens)
 
     def prefill_ends_at(self, now: float) -> float:
-        """Return when everything granted so far should be read."""
+        """Return when the prefill of all granted prompts should end."""
         return max(now, self._spans[-1].ends_at) if self._spans else now
 
     def backlog_s(self, queued_tokens: int, now: float) -> float:
-        """Return how long a prompt waits behind what is read and queued.
+        """Return how long a new prompt waits for pending and queued prefill.
 
-        Unpaced, those in the queue wait for their adapters, and nobody behind them.
+        Without pacing, queued prompts wait for their adapters and delay no others.
         """
         left_s = self.prefill_ends_at(now) - now
         if not self.is_on():
@@ -77,35 +70,35 @@
         return left_s + self.prefill_s(queued_tokens) / PAUSE_SHARE
 
     def is_on(self) -> bool:
-        """Tell whether prompts wait: reading holds streams up here or in the pool."""
+        """Return whether prompts are paced, for this engine or its pool."""
         return self.pool_stalled or self.stall_detector.is_stalled()
 
     def on_stall(self, pause_s: float, now: float) -> None:
-        """Take word that a stream has just paused for long."""
-        read_s = self._read_between(now - pause_s, now)
-        self.stall_detector.on_stall(pause_s, read_s, now)
+        """Record that a stream has just stalled for ``pause_s``."""
+        prefill_s_in_stall = self._prefill_between(now - pause_s, now)
+        self.stall_detector.on_stall(pause_s, prefill_s_in_stall, now)
 
     def wait_s(self, tokens: int, pause_s: float | None, now: float) -> float:
-        """Return how long a prompt waits so that no stream pauses too long."""
+        """Return how long a prompt waits so that no stream stalls too long."""
         if pause_s is None or not self._spans or not self.is_on():
             return 0.0
         prefill_s = self.prefill_s(tokens)
         spare_s = PAUSE_SHARE * pause_s - prefill_s
         if spare_s < 0.0:
-            clear_at = self.prefill_ends_at(now) + CLEAR_SHARE * pause_s
-            idle = self._spans[-1].ends_at + CLEAR_SHARE * pause_s <= now
-            return 0.0 if idle else max(LOOK_AGAIN_S, clear_at - now)
-        return self._wait_for_spare(spare_s, pause_s - prefill_s, now)
+            gap_ends_at = self.prefill_ends_at(now) + GAP_SHARE * pause_s
+            had_gap = self._spans[-1].ends_at + GAP_SHARE * pause_s <= now
+            return 0.0 if had_gap else max(MIN_WAIT_S, gap_ends_at - now)
+        return self._wait_for_window(spare_s, pause_s - prefill_s, now)
 
-    def _wait_for_spare(self, spare_s: float, behind_s: float, now: float) -> float:
-        """Return when the stretch of ``behind_s`` before a prompt holds little enough.
+    def _wait_for_window(self, spare_s: float, before_s: float, now: float) -> float:
+        """Return the wait until the window before a prompt holds little enough prefill.
 
-        Its own reading follows what is granted already; the stretch moves on until the
-        reading in it fits into ``spare_s``.
+        The prompt follows all granted ones. The window of ``before_s`` moves on until
+        its prefill fits into ``spare_s``.
         """
         start = self.prefill_ends_at(now)
-        begins = start - behind_s
-        over_s = self._read_between(begins, start) - spare_s
+        begins = start - before_s
+        over_s = self._prefill_between(begins, start) - spare_s
         if over_s <= 0.0:
             return 0.0
         for span in self._spans:
@@ -117,31 +110,31 @@
                 break
             over_s -= inside_s
             begins = span.ends_at
-        return max(LOOK_AGAIN_S, begins + behind_s - now)
+        return max(MIN_WAIT_S, begins + before_s - now)
 
-    def _read_between(self, begins: float, ends: float) -> float:
+    def _prefill_between(self, begins: float, ends: float) -> float:
         return sum(
             max(0.0, min(ends, span.ends_at) - max(begins, span.starts_at))
             for span in self._spans
         )
 
     def on_granted(self, ask_id: str, tokens: int, now: float) -> None:
-        """Count a prompt that is sent now."""
-        while self._spans and now - self._spans[0].ends_at > KEPT_S:
+        """Add the prefill of a prompt that is sent now."""
+        while self._spans and now - self._spans[0].ends_at > SPAN_RETENTION_S:
             self._spans.popleft()
         starts_at = self.prefill_ends_at(now)
         ends_at = starts_at + self.prefill_s(tokens)
-        self._spans.append(_Span(ask_id, tokens, now, starts_at, ends_at))
+        self._spans.append(_PrefillSpan(ask_id, tokens, now, starts_at, ends_at))
 
     def on_refused(self, ask_id: str) -> None:
-        """Forget a prompt that the engine did not read."""
+        """Remove a prompt that the engine refused."""
         self._spans = deque(span for span in self._spans if span.ask_id != ask_id)
 
     def on_first_event(self, ask_id: str, now: float) -> None:
-        """Learn from a first event how fast the engine reads.
+        """Update the prefill speed by a first event.
 
-        Only from a prompt that was read alone: others share its steps, and all of a
-        step's tokens come at its end.
+        Only a prompt without concurrent prefill counts: others share its steps, whose
+        tokens all arrive at the end.
         """
         self.stall_detector.on_stream(now)
         if not self.pool_stalled:
--- a/bamboovale/decisions/stall_detector.py
+++ b/bamboovale/decisions/stall_detector.py
@@ -1,118 +1,102 @@
-"""Whether prompts being read make an engine's streams pause too long.
+"""Detects whether the prefill of prompts stalls the streams of an engine.
 
-Load pattern: engines whose steps are short against the allowed pause hardly ever hold a
-stream up, however many prompts they read together; to pace them only makes callers wait
-for places (0.62 of the worth where it had been 0.68, on engines that take 0.29 s for an
-event at the worst with 0.4 s allowed). On others a clump of four prompts is enough, and
-half of all streams are late by it. No figure that an engine tells says which it is.
+Engines with short steps hardly ever stall a stream beyond the allowed pause, and pacing
+their prompts only makes callers wait. On others a few prompts at once are enough.
 
-Entry VMs tell of pauses that were too long. They count where the engine had been
-reading for much of them: a VM that stood still or a link that lost packets makes
-streams pause as well.
+Entry VMs report stalls that were too long. A stall counts only if the engine was busy
+with prefill for much of it, since a suspended VM or a link with packet loss stalls
+streams as well.
 """
 
-READ_SHARE = 0.7
-"""Of a pause, what the engine must have read for it to count: the steps of an event
-take a tenth to a seventh of the allowed pause, and the estimate of what was read when
-is off by a step."""
+MIN_PREFILL_SHARE = 0.7
+"""Share of a stall that must be prefill for the stall to count."""
 ON_SHARE = 0.15
-"""Of the streams that began of late, how many were held up where pacing is worth its
-waits. Unpaced, half of all streams are where it is needed; with 0.2 it began at one
-engine of six at a time where it is not. Half and double of it make no difference in
-the play of nine engines."""
+"""Share of stalled streams from which pacing starts."""
 OFF_SHARE = 0.01
-"""Below it pacing ends. With 0.03, begun at 0.2, 0.083 of all streams were late by a
-pause; with 0.01, begun at 0.1, 0.071 (play of nine engines, eight seeds)."""
-STREAMS_LEAST = 3.0
-"""An engine that is held up holds up its whole batch at once; one stream alone may have
-met a fault on its way."""
+"""Share of stalled streams below which pacing ends."""
+MIN_STALLED = 3.0
+"""Stalls from which pacing starts: a single one may have another cause."""
 HALF_LIFE_S = 4.0
-"""Streams count by half after so long; not varied. At six streams a second and engine
-some 25 decide."""
-ALONE_S = 6.0
-"""For how long an engine is taken for held up while its pool is not; then its streams
-are looked at anew: some 35 streams by then. Not varied."""
-POOL_LEAST = 3
-POOL_SHARE = 1 / 3
-"""Engines of a pool that are held up before the others take it for their own case. With
-two of six, 0.74 of what a heavy day could earn was served where pauses are wide, 0.79
-with a third; with half of them, a pool that needs it was paced two seconds later, 0.75
-and 0.79."""
+"""Half-life of the counts of streams."""
+RECHECK_AFTER_S = 6.0
+"""Time after which the counts of an engine are reset while its pool is not stalled."""
+MIN_POOL_ENGINES = 3
+MIN_POOL_SHARE = 1 / 3
+"""Stalled engines from which a whole pool is paced."""
 ASSUMED_STREAMS = 20.0
-"""What is assumed at first counts like so many streams, about those of three seconds;
-not varied."""
+"""Weight of the initial assumption, in streams."""
 
 
-def is_pool_stalled(held_up: int, engines: int) -> bool:
-    """Tell by its engines whether reading holds up the streams of a whole pool.
+def is_pool_stalled(stalled: int, engines: int) -> bool:
+    """Return whether prefill stalls the streams of a whole pool.
 
-    Engines of a pool are alike, and each would spoil a batch of its own to learn it.
-    Guards against one or two that turned slow or lost their runs: their streams pause
-    too, and a pool whose pauses are wide would be paced for the rest of the day.
+    Engines of a pool are alike, so that each need not stall a batch of its own first.
+    Guards against pacing a pool because one or two engines became slow or lost their
+    runs.
     """
-    least = max(min(POOL_LEAST, engines), POOL_SHARE * engines)
-    return held_up > 0 and held_up >= least
+    min_stalled = max(min(MIN_POOL_ENGINES, engines), MIN_POOL_SHARE * engines)
+    return stalled > 0 and stalled >= min_stalled
 
 
 class StallDetector:
-    """Streams of one engine, and those that reading held up; times in seconds."""
+    """Counts streams and stalled streams of one engine; times in seconds."""
 
     def __init__(self) -> None:
         self._streams = 0.0
-        self._held_up = 0.0
-        self._at = 0.0
-        self._is_held_up = False
-        self._held_up_since = 0.0
+        self._stalled = 0.0
+        self._updated_at = 0.0
+        self._is_stalled = False
+        self._stalled_since = 0.0
 
     def assume_stalled(self, now: float) -> None:
-        """Begin as held up, as the pool's other engines are; streams tell better."""
+        """Start as stalled, like the pool's other engines, until streams are seen."""
         if not self._streams:
             self._streams = ASSUMED_STREAMS
-            self._held_up = ASSUMED_STREAMS * ON_SHARE
-            self._is_held_up = True
-            self._held_up_since = now
-            self._at = now
+            self._stalled = ASSUMED_STREAMS * ON_SHARE
+            self._is_stalled = True
+            self._stalled_since = now
+            self._updated_at = now
 
     def on_stream(self, now: float) -> None:
-        """Count a stream that begins."""
-        self._fade(now)
+        """Count a stream that starts."""
+        self._decay(now)
         self._streams += 1.0
-        self._judge(now)
+        self._evaluate(now)
 
-    def on_stall(self, pause_s: float, read_s: float, now: float) -> None:
-        """Count a stream's first long pause; the engine read for ``read_s`` of it."""
-        if read_s < READ_SHARE * pause_s:
+    def on_stall(self, pause_s: float, prefill_s: float, now: float) -> None:
+        """Count a stream's first long stall, of which ``prefill_s`` was prefill."""
+        if prefill_s < MIN_PREFILL_SHARE * pause_s:
             return
-        self._fade(now)
-        self._held_up += 1.0
-        self._judge(now)
+        self._decay(now)
+        self._stalled += 1.0
+        self._evaluate(now)
 
     def is_stalled(self) -> bool:
-        """Tell whether reading holds up many of the engine's streams."""
-        return self._is_held_up
+        """Return whether prefill stalls many streams of the engine."""
+        return self._is_stalled
 
     def reset_if_old(self, now: float) -> None:
-        """Forget what was seen, if the engine has long been held up.
+        """Reset the counts if the engine has been stalled for long.
 
-        For an engine that is held up alone: once its prompts are paced, the pauses
-        that are left do not tell whether it still needs that.
+        Once the prompts of a single stalled engine are paced, the remaining stalls do
+        not show whether it still needs pacing.
         """
-        if self._is_held_up and now - self._held_up_since > ALONE_S:
+        if self._is_stalled and now - self._stalled_since > RECHECK_AFTER_S:
             self._streams = 0.0
-            self._held_up = 0.0
-            self._is_held_up = False
+            self._stalled = 0.0
+            self._is_stalled = False
 
-    def _fade(self, now: float) -> None:
-        faded = 0.5 ** (max(0.0, now - self._at) / HALF_LIFE_S)
+    def _decay(self, now: float) -> None:
+        faded = 0.5 ** (max(0.0, now - self._updated_at) / HALF_LIFE_S)
         self._streams *= faded
-        self._held_up *= faded
-        self._at = now
-
-    def _judge(self, now: float) -> None:
-        share = self._held_up / max(1.0, self._streams)
-        if self._held_up >= STREAMS_LEAST and share >= ON_SHARE:
-            if not self._is_held_up:
-                self._held_up_since = now
-            self._is_held_up = True
+        self._stalled *= faded
+        self._updated_at = now
+
+    def _evaluate(self, now: float) -> None:
+        share = self._stalled / max(1.0, self._streams)
+        if self._stalled >= MIN_STALLED and share >= ON_SHARE:
+            if not self._is_stalled:
+                self._stalled_since = now
+            self._is_stalled = True
         elif share < OFF_SHARE:
-            self._is_held_up = False
+            self._is_stalled = False
--- a/bamboovale/gateway/engines.py
+++ b/bamboovale/gateway/engines.py
@@ -9,7 +9,7 @@
 
 from bamboovale.decisions.engine_choice import EngineCandidate
 from bamboovale.decisions.place_work import AdapterKey, EngineSnapshot
-from bamboovale.decisions.prefill_speed import GUESS_S_PER_TOKEN
+from bamboovale.decisions.prefill_speed import INITIAL_S_PER_TOKEN
 from bamboovale.gateway.engine_owner import EngineOwner
 from bamboovale.gateway.fleet import Fleet
 from bamboovale.gateway.messages import (
@@ -351,5 +351,5 @@
         backlog_s=0.0,
         open_slots=0,
         kept=0,
-        s_per_token=GUESS_S_PER_TOKEN,
+        s_per_token=INITIAL_S_PER_TOKEN,
     )
