--- a/bamboovale/decisions/rendezvous.py
+++ b/bamboovale/decisions/rendezvous.py
@@ -1,12 +1,11 @@
-"""Ordered candidates of an adapter among live engines, the same at every entry VM.
+"""Rendezvous hashing: the candidates of a key among members, equal at every VM.
 
-Load pattern: engines come and go, adapters number in the thousands. A shared table of
-who serves what must be agreed and kept; random choice scatters an adapter over all
-engines and each loads it. With rendezvous hashing every entry VM works out the same
-order alone, and a lost engine moves only the adapters it had.
+Engines come and go, and adapters number in the thousands. A shared table of assignments
+would need agreement, and random choice loads an adapter at every engine. With
+rendezvous hashing every entry VM computes the same order, and a lost engine moves only
+the adapters it had.
 
-The order of an adapter costs one hash per engine of its base model (0.5 ms at 600)
-and is kept for the adapters used last, so a decision looks at a handful of engines.
+An order costs one hash per member and is cached for recently used keys.
 """
 
 import hashlib
@@ -14,10 +13,10 @@
 from collections.abc import Iterable
 from heapq import nlargest
 
-KEPT_ORDERS = 4096
-"""About 1 MB; at 17,000 adapters the busiest quarter, nearly all of the requests."""
+MAX_CACHED_ORDERS = 4096
+"""Enough for the adapters that get nearly all requests."""
 CANDIDATES = 8
-"""Far more copies than one adapter of a skewed load has needed, few enough to scan."""
+"""More than the copies that one adapter needs, few enough to scan."""
 
 
 def score(key: str, member: str) -> int:
@@ -27,33 +26,33 @@
 
 
 def first_members(key: str, members: Iterable[str], count: int) -> list[str]:
-    """Return the first members for a key, the best first, the same on every machine."""
+    """Return the best members for a key, best first, equal on every machine."""
     return nlargest(count, members, key=lambda name: score(key, name))
 
 
 class RendezvousOrder:
-    """Candidates by key over a changing set of members."""
+    """Cached candidates by key over a changing set of members."""
 
     def __init__(self, members: Iterable[str] = ()) -> None:
         self.members = frozenset(members)
         self._order_by_key: OrderedDict[str, tuple[str, ...]] = OrderedDict()
 
     def set_members(self, members: Iterable[str]) -> None:
-        """Take a new set of members; all orders are worked out again when needed."""
-        changed = frozenset(members)
-        if changed != self.members:
-            self.members = changed
+        """Set the members; cached orders are dropped if they change."""
+        new_members = frozenset(members)
+        if new_members != self.members:
+            self.members = new_members
             self._order_by_key.clear()
 
     def candidates(self, key: str) -> tuple[str, ...]:
-        """Return the first members for the key, the best first."""
+        """Return the best members for the key, best first."""
         order = self._order_by_key.get(key)
         if order is None:
             order = tuple(
                 nlargest(CANDIDATES, self.members, key=lambda name: score(key, name))
             )
             self._order_by_key[key] = order
-            if len(self._order_by_key) > KEPT_ORDERS:
+            if len(self._order_by_key) > MAX_CACHED_ORDERS:
                 self._order_by_key.popitem(last=False)
         else:
             self._order_by_key.move_to_end(key)
--- a/tests/test_decisions_retry_share.py
+++ b/tests/test_decisions_retry_share.py
@@ -1,4 +1,4 @@
-"""One VM's share of a retry budget of the whole fleet."""
+"""Tests of one VM's share of the retry budget of a fleet."""
 
 from bamboovale.decisions.retry_share import RetryShare, RetryShareConfig
 
@@ -6,23 +6,20 @@
 
 
 class TestRetryShare:
-    """Shares add up to less than the whole."""
+    """Guards against shares that add up to more than the budget."""
 
     def test_all_shares_together_keep_the_bound(self) -> None:
-        """Every endpoint fails at once and every VM repeats all it can.
-
-        Together the VMs must stay below the ratio and the burst of the whole fleet.
-        """
+        """Guards against VMs that together exceed the ratio and burst of the fleet."""
         shares = [RetryShare.from_config(CONFIG) for _ in range(9)]
-        repeats = 0
+        retries = 0
         for share in shares:
             share.fleet_size = len(shares)
             for number in range(100):
                 share.on_fresh(number * 0.1)
-                repeats += share.take(number * 0.1)
-        assert repeats <= 0.2 * 900 + 50
+                retries += share.take(number * 0.1)
+        assert retries <= 0.2 * 900 + 50
 
-    def test_repeats_end_when_the_share_is_used_up_and_begin_again(self) -> None:
+    def test_retries_stop_when_the_share_is_used_up_and_resume(self) -> None:
         share = RetryShare.from_config(CONFIG)
         share.fleet_size = 50
         assert not share.take(0.0)
