--- a/bamboovale/decisions/routing.py
+++ b/bamboovale/decisions/routing.py
@@ -1,16 +1,14 @@
-"""Which endpoint of a plain service gets a call, at one entry VM.
-
-Load pattern: one endpoint becomes slow or fails while calls keep coming. Round robin
-sends it as much as before, so that every third booking waits; counting only failures
-misses an endpoint that hangs.
-
-Two endpoints are drawn by chance and the one with less expected work wins: calls
-outstanding times recent latency, where a call that still hangs counts with its age. An
-endpoint that answers with errors more often than others looks busier by that share, so
-that one which fails part of its calls loses most of them without being ejected. An
-endpoint that fails in a row, or is far slower than its pool, is ejected for a while,
-never more than a third of the pool, and comes back by one trial call. Each endpoint has
-a limit of calls at once that falls when it answers late or not at all.
+"""Chooses the endpoint of a plain service for a call, at one entry VM.
+
+Round robin continues to send calls to a slow or failing endpoint, and counting failures
+misses one that hangs.
+
+Of two random endpoints the one with less expected work is chosen: outstanding calls
+times recent latency, where a call that hangs counts with its age. An endpoint with a
+larger share of errors than others counts as busier, so that it loses most calls without
+being ejected. An endpoint with several failures in a row, or far slower than its pool,
+is ejected for a while and returns by one trial call; at most a third of the pool is
+ejected. Each endpoint has a concurrency limit that falls with failed or late calls.
 """
 
 import math
@@ -19,76 +17,75 @@
 from dataclasses import dataclass, field
 
 FAILURES_TO_EJECT = 5
-"""Five in a row: by chance at 10 % failures once in 100,000 calls."""
+"""Consecutive failures; hardly ever reached by chance."""
 SLOW_FACTOR = 5.0
-"""Far outside the spread among healthy endpoints of one pool."""
-SLOW_AT_LEAST_S = 0.1
-"""Below a tenth of a second slowness is not worth an ejection."""
-EJECTED_FIRST_S = 2.0
-EJECTED_MOST_S = 30.0
-"""Two seconds first, doubled for each ejection in a row: a mended one is back soon."""
-EJECTED_SHARE = 1.0 / 3.0
+"""Multiple of the median latency, far outside the spread of healthy endpoints."""
+MIN_SLOW_S = 0.1
+"""Latency below which an endpoint is not ejected."""
+FIRST_EJECTION_S = 2.0
+MAX_EJECTION_S = 30.0
+"""Bound of the doubling time of consecutive ejections."""
+MAX_EJECTED_SHARE = 1.0 / 3.0
 ERROR_COST = 12.0
 ERROR_WEIGHT = 0.12
-"""How much an endpoint that always answers with errors looks busier, and how fast the
-share is learned: from some eight answers. At a share of errors that all have alike the
-order among them stays."""
-LATENCY_FADES_S = 5.0
-"""A slow answer counts at once and fades with this time constant."""
-LIMIT_FIRST = 32.0
-LIMIT_LEAST = 4.0
-LIMIT_MOST = 256.0
-LIMIT_CUT = 0.7
-FIRST_LATENCY_S = 0.05
-"""A guess for endpoints not yet called; replaced by the first answer."""
+"""``ERROR_COST`` scales the cost by the share of errors, which is learned with this
+weight."""
+LATENCY_DECAY_S = 5.0
+"""Time constant with which a slow answer decays."""
+INITIAL_LIMIT = 32.0
+MIN_LIMIT = 4.0
+MAX_LIMIT = 256.0
+LIMIT_DECREASE = 0.7
+INITIAL_LATENCY_S = 0.05
+"""Assumed until the first answer."""
 MEDIAN_VALID_S = 0.25
-"""The pool's median costs a sort, so it is kept for a moment."""
-DRAWS = 8
-"""Draws of two before all are looked at: enough while half of the pool has room."""
+"""How long the median of the pool is cached."""
+MAX_DRAWS = 8
+"""Random draws before all endpoints are examined."""
 
 
 @dataclass
 class Endpoint:
-    """What one entry VM has seen of an endpoint."""
+    """State of one endpoint at this entry VM."""
 
-    latency_s: float = FIRST_LATENCY_S
+    latency_s: float = INITIAL_LATENCY_S
     measured_at: float = 0.0
     error_share: float = 0.0
     failures_in_row: int = 0
     ejections_in_row: int = 0
-    limit: float = LIMIT_FIRST
+    limit: float = INITIAL_LIMIT
     started_at_by_call: dict[str, float] = field(default_factory=dict)
 
     def expected_latency(self, now: float) -> float:
-        """Return the recent latency, or the age of a call that hangs."""
-        faded = math.exp(-max(0.0, now - self.measured_at) / LATENCY_FADES_S)
-        recent = FIRST_LATENCY_S + (self.latency_s - FIRST_LATENCY_S) * faded
+        """Return the recent latency, or the age of the oldest call if longer."""
+        faded = math.exp(-max(0.0, now - self.measured_at) / LATENCY_DECAY_S)
+        recent = INITIAL_LATENCY_S + (self.latency_s - INITIAL_LATENCY_S) * faded
         oldest = next(iter(self.started_at_by_call.values()), now)
         return max(recent, now - oldest)
 
     def cost(self, now: float) -> float:
-        """Return the expected work before a new call is answered well."""
+        """Return the expected work before a new call succeeds."""
         work_s = (len(self.started_at_by_call) + 1) * self.expected_latency(now)
-        faded = math.exp(-max(0.0, now - self.measured_at) / LATENCY_FADES_S)
+        faded = math.exp(-max(0.0, now - self.measured_at) / LATENCY_DECAY_S)
         return work_s * (1.0 + ERROR_COST * self.error_share * faded)
 
     def has_room(self) -> bool:
-        """Say whether the endpoint's limit allows one more call."""
+        """Return whether the concurrency limit allows one more call."""
         return len(self.started_at_by_call) < self.limit
 
 
 class ServiceRouter:
-    """Routes the calls of one pool of a plain service."""
+    """Routes the calls to one pool of a plain service."""
 
     def __init__(self) -> None:
         self._endpoint_by_id: dict[str, Endpoint] = {}
         self._names: list[str] = []
         self._ejected: dict[str, float] = {}
-        self._median_s = FIRST_LATENCY_S
+        self._median_s = INITIAL_LATENCY_S
         self._median_at: float | None = None
 
     def set_endpoints(self, endpoint_ids: Iterable[str]) -> None:
-        """Take the live endpoints; calls to those that left still end normally."""
+        """Set the live endpoints; calls to removed ones still end normally."""
         self._endpoint_by_id = {
             name: self._endpoint_by_id.get(name) or Endpoint() for name in endpoint_ids
         }
@@ -105,7 +102,7 @@
     ) -> str | None:
         """Return the endpoint to call, or None if none has room."""
         for name in self._ejected:
-            if name not in excluded and self._wants_trial(name, now):
+            if name not in excluded and self._is_trial_due(name, now):
                 return name
         drawn = self._draw(rng, excluded)
         return min(
@@ -129,9 +126,9 @@
         ok: bool,
         error: bool = False,
     ) -> None:
-        """Count a call's end; not ``ok`` for a time-out, a broken call or a 5xx.
+        """Record the end of a call; not ``ok`` for a time-out, broken call or 5xx.
 
-        ``error`` is for an answer that came in time and says that the call failed.
+        ``error`` marks an answer in time that reports a failure.
         """
         endpoint = self._endpoint_by_id.get(endpoint_id)
         if endpoint is None:
@@ -139,7 +136,7 @@
         started_at = endpoint.started_at_by_call.pop(call_id, now)
         failed = 1.0 if error or not ok else 0.0
         endpoint.error_share += ERROR_WEIGHT * (failed - endpoint.error_share)
-        self._measure(endpoint, now - started_at, now)
+        self._update_latency(endpoint, now - started_at, now)
         if ok:
             self._succeeded(endpoint_id, now)
         else:
@@ -152,15 +149,15 @@
                 self._eject(name, now)
 
     def ejected(self) -> list[str]:
-        """Return the endpoints that get no calls but trials."""
+        """Return the endpoints that get no calls except trials."""
         return list(self._ejected)
 
     def _draw(self, rng: random.Random, excluded: Collection[str]) -> list[str]:
-        """Return up to two endpoints by chance among those with room."""
+        """Return up to two random endpoints that have room."""
         if not self._names:
             return []
         drawn: dict[str, None] = {}
-        for _ in range(DRAWS):
+        for _ in range(MAX_DRAWS):
             name = rng.choice(self._names)
             if name not in excluded and self._is_ready(name):
                 drawn[name] = None
@@ -176,11 +173,11 @@
     def _is_ready(self, name: str) -> bool:
         return name not in self._ejected and self._endpoint_by_id[name].has_room()
 
-    def _wants_trial(self, name: str, now: float) -> bool:
+    def _is_trial_due(self, name: str, now: float) -> bool:
         idle = not self._endpoint_by_id[name].started_at_by_call
         return idle and now >= self._ejected[name]
 
-    def _measure(self, endpoint: Endpoint, latency_s: float, now: float) -> None:
+    def _update_latency(self, endpoint: Endpoint, latency_s: float, now: float) -> None:
         before = endpoint.expected_latency(now)
         if latency_s > before:
             endpoint.latency_s = latency_s
@@ -191,7 +188,7 @@
     def _succeeded(self, name: str, now: float) -> None:
         endpoint = self._endpoint_by_id[name]
         endpoint.failures_in_row = 0
-        endpoint.limit = min(LIMIT_MOST, endpoint.limit + 1.0 / endpoint.limit)
+        endpoint.limit = min(MAX_LIMIT, endpoint.limit + 1.0 / endpoint.limit)
         ejected_until = self._ejected.get(name)
         if ejected_until is not None and now < ejected_until:
             return
@@ -204,7 +201,7 @@
     def _failed(self, name: str, now: float) -> None:
         endpoint = self._endpoint_by_id[name]
         endpoint.failures_in_row += 1
-        endpoint.limit = max(LIMIT_LEAST, endpoint.limit * LIMIT_CUT)
+        endpoint.limit = max(MIN_LIMIT, endpoint.limit * LIMIT_DECREASE)
         if now < self._ejected.get(name, now):
             return
         if name in self._ejected or endpoint.failures_in_row >= FAILURES_TO_EJECT:
@@ -212,12 +209,12 @@
 
     def _is_slow(self, name: str, now: float) -> bool:
         latency_s = self._endpoint_by_id[name].expected_latency(now)
-        if latency_s <= SLOW_AT_LEAST_S:
+        if latency_s <= MIN_SLOW_S:
             return False
         return latency_s > SLOW_FACTOR * self._median(now)
 
     def _median(self, now: float) -> float:
-        """Return the lower median of the pool's latencies."""
+        """Return the lower median of the latencies in the pool."""
         if self._median_at is None or now - self._median_at > MEDIAN_VALID_S:
             latencies = sorted(
                 endpoint.expected_latency(now)
@@ -229,10 +226,10 @@
 
     def _eject(self, name: str, now: float) -> None:
         if name not in self._ejected:
-            most = max(1, int(len(self._names) * EJECTED_SHARE))
+            most = max(1, int(len(self._names) * MAX_EJECTED_SHARE))
             if len(self._names) < 2 or len(self._ejected) >= most:
                 return
         endpoint = self._endpoint_by_id[name]
-        pause = EJECTED_FIRST_S * 2.0**endpoint.ejections_in_row
-        self._ejected[name] = now + min(pause, EJECTED_MOST_S)
+        pause = FIRST_EJECTION_S * 2.0**endpoint.ejections_in_row
+        self._ejected[name] = now + min(pause, MAX_EJECTION_S)
         endpoint.ejections_in_row = min(endpoint.ejections_in_row + 1, 10)
--- a/bamboovale/decisions/suspects.py
+++ b/bamboovale/decisions/suspects.py
@@ -1,14 +1,13 @@
-"""Requests that crash the endpoints that run them.
+"""Requests suspected of crashing the endpoints that run them.
 
-Load pattern: now and then one request crashes each endpoint it runs on, and its caller
-sends it again. Repeated like any failed request it takes down one engine after the
-other, and with each the innocent requests that ran beside it.
+Guards against a request that crashes each endpoint it runs on and that its caller
+retries, with the loss of all requests that run beside it.
 
 All requests that ran at a crash are suspects. A suspect runs alone, on an engine that
-it has not crashed: an innocent one ends and is cleared, a guilty one takes nobody along
-and its fingerprint is refused everywhere from then on. So one fingerprint costs at most
-``ENDPOINTS_PER_FINGERPRINT`` engines, plus those on which copies of it already ran when
-the first crash became known.
+it has not crashed: if it completes it is cleared, if the engine crashes its fingerprint
+is refused everywhere. One fingerprint therefore costs at most
+``ENDPOINTS_PER_FINGERPRINT`` engines, plus those that already run copies of it when the
+first crash becomes known.
 """
 
 import hashlib
@@ -18,17 +17,17 @@
 from bamboovale.errors import ErrorCode, Refusal
 
 ENDPOINTS_PER_FINGERPRINT = 2
-"""One crash in company and one alone."""
+"""One crash among other requests and one alone."""
 SUSPECT_FOR_S = 600.0
-"""Callers send again within seconds or minutes; later it is a new story."""
+"""Callers retry within seconds or minutes."""
 REFUSED_FOR_S = 6 * 3600.0
-"""A fixed engine gets another chance the same day; one crash alone renews it."""
-MOST_KEPT = 10_000
-"""About 2 MB, and 16 running requests times hundreds of crashes."""
+"""After this time the request may run once more, since the engine may be fixed."""
+MAX_TRACKED = 10_000
+"""Bound on the remembered fingerprints."""
 
 
 def fingerprint(customer: str, lora_name: str, body: bytes) -> str:
-    """Return what stays the same when a caller sends a request again."""
+    """Return a digest that is equal for retries of the same request."""
     digest = hashlib.blake2b(digest_size=16)
     for part in (customer.encode(), lora_name.encode(), body):
         digest.update(len(part).to_bytes(8, "big"))
@@ -38,7 +37,7 @@
 
 @dataclass(frozen=True)
 class CrashNotice:
-    """A request that was running when its endpoint crashed, as told to peers."""
+    """A request that ran when its endpoint crashed, as sent to peers."""
 
     fingerprint: str
     endpoint_id: str
@@ -61,35 +60,35 @@
 
 
 class Suspects:
-    """What one entry VM knows of requests that crash endpoints."""
+    """Suspected requests as one entry VM knows them."""
 
     def __init__(self) -> None:
         self._suspicion_by_fingerprint: OrderedDict[str, Suspicion] = OrderedDict()
 
     def on_notice(self, notice: CrashNotice, now: float) -> bool:
-        """Note a crash, own or told by a peer; False if it was known."""
+        """Record a crash seen here or by a peer; return False if it was known."""
         suspicion = self._current(notice.fingerprint, now)
         if suspicion is None:
             suspicion = Suspicion()
             self._suspicion_by_fingerprint[notice.fingerprint] = suspicion
         crash = (notice.endpoint_id, notice.boot_id)
-        convicts = notice.alone and not suspicion.refused
-        news = convicts or crash not in suspicion.crashes
+        is_conclusive = notice.alone and not suspicion.refused
+        is_new = is_conclusive or crash not in suspicion.crashes
         suspicion.crashes.add(crash)
         suspicion.refused = suspicion.refused or notice.alone
-        lasts = REFUSED_FOR_S if suspicion.refused else SUSPECT_FOR_S
-        suspicion.until = max(suspicion.until, now + lasts)
+        duration_s = REFUSED_FOR_S if suspicion.refused else SUSPECT_FOR_S
+        suspicion.until = max(suspicion.until, now + duration_s)
         self._keep_bounded()
-        return news
+        return is_new
 
     def on_answered(self, request_fingerprint: str, now: float) -> None:
-        """Clear a suspect whose run ended."""
+        """Clear a suspect that completed."""
         suspicion = self._current(request_fingerprint, now)
         if suspicion is not None and not suspicion.refused:
             del self._suspicion_by_fingerprint[request_fingerprint]
 
     def refusal(self, request_fingerprint: str, now: float) -> Refusal | None:
-        """Return the final answer for a fingerprint that crashed an endpoint alone."""
+        """Return the refusal of a fingerprint that crashed an endpoint alone."""
         suspicion = self._current(request_fingerprint, now)
         if suspicion is None or not suspicion.refused:
             return None
@@ -100,7 +99,7 @@
         )
 
     def crashed_endpoints(self, request_fingerprint: str, now: float) -> frozenset[str]:
-        """Return where it must not run; not empty means that it must run alone."""
+        """Return the endpoints to avoid; if not empty, the request must run alone."""
         suspicion = self._current(request_fingerprint, now)
         return suspicion.endpoints if suspicion else frozenset()
 
@@ -115,5 +114,5 @@
         return suspicion
 
     def _keep_bounded(self) -> None:
-        while len(self._suspicion_by_fingerprint) > MOST_KEPT:
+        while len(self._suspicion_by_fingerprint) > MAX_TRACKED:
             self._suspicion_by_fingerprint.popitem(last=False)
--- a/tests/test_decisions_routing.py
+++ b/tests/test_decisions_routing.py
@@ -1,4 +1,4 @@
-"""Plain services: a slow or failing endpoint, judged by what callers wait."""
+"""Tests of routing around slow and failing endpoints of plain services."""
 
 import heapq
 import random
@@ -19,9 +19,9 @@
     rate_per_s: float = 100.0,
     router: ServiceRouter | None = None,
 ) -> list[tuple[float, str, float]]:
-    """Return (start, endpoint, latency) of calls in a small event loop.
+    """Return (start, endpoint, latency) of simulated calls.
 
-    A latency below zero is a failed call.
+    A negative latency is a failed call.
     """
     rng = random.Random(1)
     router = router or ServiceRouter()
@@ -45,7 +45,7 @@
 
 
 class TestSlowEndpoint:
-    """One endpoint hangs for ten seconds and mends."""
+    """Guards against an endpoint that hangs and keeps getting calls, or none later."""
 
     def test_loses_work_within_seconds_and_gets_it_back(self) -> None:
         def latency(name: str, now: float) -> float:
@@ -65,7 +65,7 @@
 
 
 class TestConcurrencyLimit:
-    """Calls that never end fill an endpoint only up to its limit."""
+    """Guards against calls beyond the concurrency limit of an endpoint."""
 
     def test_no_endpoint_without_room(self) -> None:
         router = ServiceRouter()
@@ -79,28 +79,28 @@
 
 
 class TestRetryBudget:
-    """Repeats stay a share of fresh requests, also when everything fails."""
+    """Guards against more retries than a share of fresh requests."""
 
     @pytest.mark.parametrize("rate_per_s", [1, 100])
     def test_everything_fails(self, rate_per_s: int) -> None:
         budget = RetryBudget.from_config(RetryConfig())
-        repeats = 0
+        retries = 0
         for number in range(60 * rate_per_s):
             now = number / rate_per_s
             budget.on_fresh(now)
             while budget.take(now):
-                repeats += 1
+                retries += 1
         fresh = 60 * rate_per_s
         floor = 3 * (1 + 60 / 10)
-        assert 0 < repeats <= 0.12 * fresh + floor
+        assert 0 < retries <= 0.12 * fresh + floor
 
 
 class TestGreyEndpoint:
-    """An endpoint that answers part of its calls with errors, in good time."""
+    """Guards against calls to an endpoint that answers many of them with errors."""
 
     @staticmethod
     def failed_share(error_share: dict[str, float]) -> tuple[float, float]:
-        """Return the share of failed calls, and the grey endpoint's share of calls."""
+        """Return the share of failed calls and that of calls to the grey endpoint."""
         rng = random.Random(3)
         router = ServiceRouter()
         router.set_endpoints(ENDPOINTS)
@@ -117,17 +117,15 @@
         return failed / 2000, grey / 2000
 
     def test_it_loses_most_calls_without_failing_in_a_row(self) -> None:
-        """One of four endpoints fails seven of ten calls, the others one of ten.
+        """Guards against errors that are neither consecutive nor slow.
 
-        Counted by failures in a row or by slowness it looks well: a quarter of all
-        bookings go there, and most of those fail. Before the share of errors counted,
-        0.29 of all calls failed here, 0.10 with it.
+        Such an endpoint would get as many calls as the others.
         """
         failed, grey = self.failed_share({"counter-1": 0.7})
         assert failed < 0.16
         assert grey < 0.1
 
-    def test_errors_that_all_have_alike_move_nothing(self) -> None:
-        """Callers ask for what does not exist: every endpoint answers so."""
+    def test_equal_error_shares_change_nothing(self) -> None:
+        """Guards against moving calls because of errors that callers cause."""
         _, grey = self.failed_share({})
         assert 0.15 < grey < 0.35
--- a/tests/test_decisions_suspects.py
+++ b/tests/test_decisions_suspects.py
@@ -1,4 +1,4 @@
-"""A request that crashes each endpoint that runs it costs a bounded number."""
+"""Tests that a request that crashes endpoints costs a bounded number of them."""
 
 from bamboovale.decisions.suspects import (
     ENDPOINTS_PER_FINGERPRINT,
@@ -10,7 +10,7 @@
 
 
 def run_until_settled(guilty: str, innocents: list[str]) -> tuple[int, Suspects]:
-    """Run all together, then each suspect as the rules say; return the crashes."""
+    """Run all requests together, then each suspect alone; return the crashes."""
     suspects = Suspects()
     engines = [f"tutor-llm-{number}" for number in range(1, 7)]
     crashes = 1
@@ -32,11 +32,7 @@
 
 
 class TestCrashingRequest:
-    """One request crashes its engine; its caller sends it again for half a minute.
-
-    Without suspicion each repeat takes the next engine down, and with it the
-    innocent requests beside it.
-    """
+    """Guards against a retried request that crashes one engine after another."""
 
     def test_costs_two_endpoints_and_clears_innocents(self) -> None:
         crashes, suspects = run_until_settled("guilty", ["i1", "i2"])
@@ -47,14 +43,14 @@
         assert refusal.retry_after_s is None
         assert not suspects.crashed_endpoints("i1", 30.0)
 
-    def test_peers_learn_the_verdict_once(self) -> None:
+    def test_peers_apply_a_notice_once(self) -> None:
         peer = Suspects()
         notice = CrashNotice("guilty", "tutor-llm-2", "b7", alone=True)
         assert peer.on_notice(notice, 0.0)
         assert not peer.on_notice(notice, 1.0)
         assert peer.refusal("guilty", 2.0)
 
-    def test_fingerprint_tells_customers_and_bodies_apart(self) -> None:
+    def test_fingerprint_differs_by_customer_adapter_and_body(self) -> None:
         prints = {
             fingerprint("a", "x@1", b"body"),
             fingerprint("b", "x@1", b"body"),
