--- a/bamboovale/decisions/dispatch.py
+++ b/bamboovale/decisions/dispatch.py
@@ -103,7 +103,7 @@
             queue=self._queue,
             permits=self._permits,
             planner=self._planner,
-            openings=self._slot_forecast,
+            slot_forecast=self._slot_forecast,
             service_seconds=config.service_seconds,
         )
 
@@ -183,7 +183,7 @@
         permit = self._permits.release(permit_id, now)
         if permit is not None:
             self._slot_forecast.on_released(permit.lora_name, now)
-            self._wait_forecast.served(permit_class(permit), seconds)
+            self._wait_forecast.on_served(permit_class(permit), seconds)
         return self._decide(now)
 
     def on_entry_gone(self, entry_vm: str, now: float) -> list[Action]:
--- a/bamboovale/decisions/slot_planner.py
+++ b/bamboovale/decisions/slot_planner.py
@@ -21,8 +21,8 @@
 from bamboovale.decisions.permits import PermitBook
 from bamboovale.decisions.policy import Policy
 from bamboovale.decisions.slots import (
-    BACK_OFF_MOST_S,
     EXCHANGE_FACTOR,
+    MAX_BACK_OFF_S,
     RESIDENCE_LOADS,
     Slot,
     SlotTable,
@@ -45,7 +45,7 @@
 """Guards against a lost grant: a repeated load request only renews its weight."""
 LOAD_TIME_WEIGHT = 0.3
 """Weight of one load in the average load time."""
-FAILURE_VALID_S = 2 * BACK_OFF_MOST_S
+FAILURE_VALID_S = 2 * MAX_BACK_OFF_S
 """Age at which the last failed load no longer predicts failures."""
 LOAD_TIMEOUT_S = 60.0
 """Guards against an order whose outcome is never reported."""
@@ -266,7 +266,7 @@
             if name not in self.slots.loaded
             and name not in self.slots.newcomer_by_victim
             and not self.slots.is_coming(name)
-            and not self.slots.backs_off(name, now)
+            and not self.slots.is_backing_off(name, now)
         }
         ranked = sorted(value_by_name, key=lambda name: (-value_by_name[name], name))
         return {name: value_by_name[name] for name in ranked}
--- a/bamboovale/decisions/slots.py
+++ b/bamboovale/decisions/slots.py
@@ -1,26 +1,25 @@
-"""Which adapters an engine's few slots hold, and which one makes room.
+"""Adapter slots of one engine at its lease holder, and rules for evictions.
 
-Load pattern: thousands of adapters, a few slots, skewed and shifting popularity.
-Least recently used evicts a hot adapter whenever a run of rare ones passes by, then
-loads it again: every such exchange costs a turn at the weight store and a stall.
+Popularity is skewed and shifts. Least recently used evicts a hot adapter whenever many
+rare ones are requested, and each reload costs a load grant and a stall.
 
-A slot is worth the work that waits for its adapter plus the requests that recent
-demand lets one expect. An adapter is loaded when that is worth clearly more than
-the least valued slot. A slot that just changed rests for a while, so that two
-adapters never push each other out in turn; a failed load backs off.
+The value of a slot is the work that waits for its adapter plus the requests expected
+from recent demand. An adapter is loaded if its value is clearly above that of the least
+valued slot. A slot that has just changed is kept for a while, so that two adapters do
+not evict each other in turn; a failed load backs off.
 """
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from typing import Protocol
 
-BACK_OFF_FIRST_S = 0.5
-BACK_OFF_MOST_S = 15.0
-"""From about one load up to where a mended store is noticed soon."""
+FIRST_BACK_OFF_S = 0.5
+MAX_BACK_OFF_S = 15.0
+"""Bound of the doubling back-off after failed loads."""
 EXCHANGE_FACTOR = 1.2
-"""A newcomer must be worth a fifth more, or near ties would exchange for ever."""
+"""Guards against endless exchanges of adapters with almost equal values."""
 RESIDENCE_LOADS = 2.0
-"""A slot stays for two load times: a load that serves nothing doubles the stalls."""
+"""Load times for which a slot is kept after a load."""
 
 
 @dataclass
@@ -33,17 +32,17 @@
 
 @dataclass
 class BackOff:
-    """Failures of an adapter on this engine."""
+    """Consecutive failed loads of an adapter on this engine."""
 
     failures: int
     until: float
 
 
 class SlotRule(Protocol):
-    """Decides about exchange of adapters."""
+    """Chooses the adapter to evict."""
 
     drains: bool
-    """Whether a pinned slot may stop taking work in order to become free."""
+    """Whether a pinned slot may stop getting requests in order to become free."""
 
     def victim(
         self,
@@ -54,12 +53,12 @@
     ) -> str | None:
         """Return the adapter to evict for a newcomer of that value, if any.
 
-        Candidates loaded later than ``loaded_before`` have not rested long enough.
+        Candidates loaded after ``loaded_before`` are still in their residence time.
         """
 
 
 class LeastRecentlyUsed:
-    """Evict what was used the longest time ago, whatever it is worth."""
+    """Evicts the least recently used adapter, whatever its value."""
 
     drains = False
 
@@ -79,7 +78,7 @@
 
 
 class LeastValued:
-    """Evict what is worth least, if the newcomer is worth clearly more."""
+    """Evicts the least valued adapter if the newcomer has a clearly higher value."""
 
     drains = True
 
@@ -90,20 +89,20 @@
         value: Callable[[str], float],
         loaded_before: float,
     ) -> str | None:
-        """Return the least valued candidate that has rested long enough."""
-        rested = {
+        """Return the least valued candidate past its residence time."""
+        value_by_name = {
             name: value(name)
             for name, slot in candidates.items()
             if slot.loaded_at <= loaded_before
         }
-        if not rested:
+        if not value_by_name:
             return None
-        least = min(rested, key=lambda name: (rested[name], name))
-        return least if newcomer > rested[least] * EXCHANGE_FACTOR else None
+        least = min(value_by_name, key=lambda name: (value_by_name[name], name))
+        return least if newcomer > value_by_name[least] * EXCHANGE_FACTOR else None
 
 
 class SlotTable:
-    """State of each slot as the holder knows it."""
+    """State of each slot as the lease holder knows it."""
 
     def __init__(self) -> None:
         self.max_loras = 0
@@ -116,17 +115,17 @@
 
     @property
     def free(self) -> int:
-        """Return the slots that nothing holds or is about to hold."""
+        """Return the number of slots that are neither used nor reserved."""
         used = len(self.loaded) + len(self.loading_since)
         used += len(self.newcomer_by_victim) + len(self.uncertain)
         return max(0, self.max_loras - used)
 
     def is_coming(self, name: str) -> bool:
-        """Say whether a load is ordered, or an eviction that makes room for it."""
+        """Return whether a load or an eviction for the adapter is ordered."""
         return name in self.loading_since or name in self.newcomer_by_victim.values()
 
     def update_loaded(self, loaded: Iterable[str], read_at: float, now: float) -> None:
-        """Take over what the engine lists, but for what was learned since."""
+        """Apply the list of loaded adapters, except for later changes."""
         listed = set(loaded)
         for name, slot in list(self.loaded.items()):
             if name not in listed and slot.loaded_at <= read_at:
@@ -142,7 +141,7 @@
         self._forget_unloaded(read_at)
 
     def clear(self) -> None:
-        """Forget all slots: the engine restarted with nothing loaded."""
+        """Reset all slots after a restart of the engine."""
         self.loaded.clear()
         self.loading_since.clear()
         self.newcomer_by_victim.clear()
@@ -150,16 +149,16 @@
         self._unloaded_at.clear()
 
     def order_load(self, name: str, now: float) -> None:
-        """Note that a load was ordered."""
+        """Record an ordered load."""
         self.loading_since[name] = now
 
     def order_unload(self, victim: str, newcomer: str | None) -> None:
-        """Note that an eviction was ordered; the victim takes no work from now on."""
+        """Record an ordered eviction; the adapter gets no more requests."""
         self.loaded.pop(victim, None)
         self.newcomer_by_victim[victim] = newcomer
 
     def load_done(self, name: str, now: float) -> float | None:
-        """Note a finished load and return its seconds; None if it was not ordered."""
+        """Record a finished load and return its seconds; None if it was not ordered."""
         since = self.loading_since.pop(name, None)
         if since is None:
             return None
@@ -168,33 +167,33 @@
         return now - since
 
     def load_failed(self, name: str, now: float, wait_s: float) -> None:
-        """Note a failed load and wait longer after each one in a row."""
+        """Record a failed load and double the back-off."""
         self.loading_since.pop(name, None)
         back_off = self._back_off_by_name.setdefault(name, BackOff(0, now))
-        doubled = BACK_OFF_FIRST_S * 2.0**back_off.failures
+        doubled = FIRST_BACK_OFF_S * 2.0**back_off.failures
         back_off.failures = min(back_off.failures + 1, 10)
-        back_off.until = now + max(wait_s, min(doubled, BACK_OFF_MOST_S))
+        back_off.until = now + max(wait_s, min(doubled, MAX_BACK_OFF_S))
 
     def unload_done(self, victim: str, now: float) -> str | None:
-        """Note a finished eviction and return the adapter it made room for."""
+        """Record a finished eviction and return the adapter to load instead."""
         self._unloaded_at[victim] = now
         return self.newcomer_by_victim.pop(victim, None)
 
     def unload_failed(self, victim: str) -> None:
-        """Keep the slot as used, without work, until the engine is looked at."""
+        """Keep the slot reserved but unused until the next view of the engine."""
         if victim in self.newcomer_by_victim:
             del self.newcomer_by_victim[victim]
             self.uncertain.add(victim)
 
-    def backs_off(self, name: str, now: float) -> bool:
-        """Say whether a load of the adapter must still wait after a failure."""
+    def is_backing_off(self, name: str, now: float) -> bool:
+        """Return whether a load of the adapter must wait after a failure."""
         back_off = self._back_off_by_name.get(name)
         return back_off is not None and now < back_off.until
 
     def forget_back_offs(self, now: float) -> None:
-        """Drop back-offs that ended long ago."""
+        """Remove back-offs that ended long ago."""
         for name, back_off in list(self._back_off_by_name.items()):
-            if now > back_off.until + BACK_OFF_MOST_S:
+            if now > back_off.until + MAX_BACK_OFF_S:
                 del self._back_off_by_name[name]
 
     def _forget_unloaded(self, read_at: float) -> None:
--- a/bamboovale/decisions/work.py
+++ b/bamboovale/decisions/work.py
@@ -1,7 +1,7 @@
-"""What goes into and comes out of the decisions of one engine's lease holder.
+"""Inputs and outputs of the decisions of one engine's lease holder.
 
-Events are method calls on :class:`EngineDispatch`; what it decides comes back as
-a list of the frozen actions below, which the holder carries out.
+Events are method calls on :class:`EngineDispatch`; each returns a list of the frozen
+actions below, which the holder carries out.
 """
 
 from dataclasses import dataclass, field
@@ -12,11 +12,11 @@
 
 @dataclass(frozen=True)
 class WorkItem:
-    """One model request that asks for a place on an engine.
+    """A model request that waits for a place on an engine.
 
-    ``latest_start`` is the moment after which the answer is of no use; the
-    decision refuses the request as soon as it sees that this cannot be met.
-    ``exclusive`` marks a suspect of an endpoint crash, which runs alone.
+    ``latest_start`` is the time after which an answer is useless; the request is
+    refused as soon as it cannot start by then. ``exclusive`` marks a crash suspect,
+    which runs alone.
     """
 
     request_id: str
@@ -37,10 +37,10 @@
 class Permit:
     """A place on an engine and a pin on its adapter, until it is released.
 
-    An entry VM repeats its ask while it waits; ``ask_number`` is the last one the
-    holder had seen. ``send_within_s`` counts from the moment the entry VM sent
-    that ask, on its own monotonic clock: a permit later than that is discarded
-    unsent, also by an entry VM that was paused and does not know it.
+    An entry VM repeats its request while it waits; ``ask_number`` is the last one that
+    the holder received. ``send_within_s`` counts from when the entry VM sent that
+    request, on its own monotonic clock: a later permit is discarded unsent, even by an
+    entry VM that was suspended.
     """
 
     permit_id: str
@@ -57,10 +57,10 @@
 
 @dataclass(frozen=True)
 class EngineView:
-    """The engine's own exact answer about its state.
+    """The engine's own report of its exact state.
 
-    ``read_at`` is the holder's clock before the question was sent; what the holder
-    learned later than that wins over the view. None means "just now".
+    ``read_at`` is the time on the holder's clock before the report was requested;
+    events after it take precedence over the view. None means the current time.
     """
 
     boot_id: str
@@ -75,14 +75,14 @@
 
 @dataclass(frozen=True)
 class Grant:
-    """Give the request its permit."""
+    """Send the request its permit."""
 
     permit: Permit
 
 
 @dataclass(frozen=True)
 class Refuse:
-    """Give the request its final answer, or send it to another engine."""
+    """Refuse the request, or send it to another engine."""
 
     request_id: str
     entry_vm: str
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True)
 class RequestLoadGrant:
-    """Ask the load scheduler for a turn at the weight store.
+    """Request a load grant from the load scheduler.
 
     ``weight`` grows with the work that waits for the adapter.
     """
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True)
 class ReturnLoadGrant:
-    """Tell the load scheduler that a turn is not needed any more."""
+    """Return an unused load grant to the load scheduler."""
 
     lora_name: str
 
@@ -127,13 +127,12 @@
 
 @dataclass(frozen=True)
 class EngineHint:
-    """What a lease holder tells the entry VMs about its engine, now and then.
+    """Routing hint that a lease holder sends to entry VMs at intervals.
 
-    A hint may be seconds old. A wrong one costs a wait or a refusal that sends the
-    request to the next engine, never a wrong answer. ``load_seconds`` is what a load
-    takes with its turn, ``open_slots`` are slots that one more adapter could take
-    (below zero: adapters already wait for one), and ``slot_wait_s`` is the time until
-    one more opens.
+    A hint may be seconds old; a wrong one costs a wait or a refusal that sends the
+    request to the next engine. ``load_seconds`` includes the wait for a load grant.
+    ``open_slots`` are the slots for one more adapter, negative if adapters already wait
+    for one. ``slot_wait_s`` is the time until one more slot becomes free.
     """
 
     engine_id: str
