--- a/tests/engine_load_simulation.py
+++ b/tests/engine_load_simulation.py
@@ -1,8 +1,7 @@
-"""Plays a load on the decisions about engines in virtual time, without a network.
+"""Simulates a load on the engine decisions in virtual time, without a network.
 
-Entry VMs choose an engine by what its owner told them up to 0.3 s ago and ask for a
-place; owners queue, load and evict; engines load and run. What comes back is what the
-callers get: the time to their first event.
+Entry VMs choose engines by statuses and request places; owners queue, load and evict;
+engines load and run. The result is the time to the first event of each request.
 """
 
 import heapq
@@ -30,17 +29,17 @@
 ORDER_S = 0.004
 COLD_LOAD_S = 0.25
 WARM_LOAD_S = 0.025
-HOST_ADAPTERS = 100
+CACHED_ADAPTERS = 100
 REPORT_S = 0.13
 STATUS_S = 0.1
 TOKEN_S = 0.0125
-SLOWER_BY_RUN = 0.004
-READ_TOKENS_PER_S = 19_200.0
+SLOWDOWN_PER_RUN = 0.004
+PREFILL_TOKENS_PER_S = 19_200.0
 
 
 @dataclass(frozen=True)
 class Load:
-    """Arrivals of one play; ``skew`` is the exponent of the adapters' popularity."""
+    """Arrivals of one simulation; ``skew`` is the exponent of the popularity."""
 
     per_s: float = 130.0
     seconds: float = 20.0
@@ -58,7 +57,7 @@
 
 @dataclass
 class Result:
-    """What callers got, and what it cost."""
+    """Times to the first event, refusals and loads."""
 
     first_event_s: list[float] = field(default_factory=list)
     refused: int = 0
@@ -78,7 +77,7 @@
     speed: float
     loaded: dict[AdapterKey, int] = field(default_factory=dict)
     loading: set[AdapterKey] = field(default_factory=set)
-    host: OrderedDict[AdapterKey, None] = field(default_factory=OrderedDict)
+    cache: OrderedDict[AdapterKey, None] = field(default_factory=OrderedDict)
     running: int = 0
     prefill_ends_at: float = 0.0
 
@@ -91,7 +90,7 @@
 
 
 class Simulation:
-    """One play of a load; ``run`` returns what callers got."""
+    """One simulation of a load."""
 
     def __init__(self, load: Load) -> None:
         self.load = load
@@ -110,15 +109,17 @@
             for n in range(load.engines)
         }
         self._entries = [_EntryVM(EngineChooser()) for _ in range(load.entry_vms)]
-        self._arrived_by_ask: dict[str, tuple[float, int]] = {}
+        self._arrival_by_id: dict[str, tuple[float, int]] = {}
 
     def run(self) -> Result:
-        """Play the load to its end."""
+        """Simulate the load to its end and return the result."""
         for engine in self._engine_by_name.values():
             engine.places.may_order = True
             self._report(engine)
         for number, entry in enumerate(self._entries):
-            self._at(number * STATUS_S / len(self._entries), self._teller(entry))
+            self._at(
+                number * STATUS_S / len(self._entries), self._status_updater(entry)
+            )
         keys = [("base", f"a{n}") for n in range(self.load.adapters)]
         weights = [(n + 1) ** -self.load.skew for n in range(self.load.adapters)]
         at = 1.0
@@ -142,23 +143,23 @@
 
     # Entry VMs.
 
-    def _teller(self, entry: _EntryVM) -> Callable[[], None]:
-        def tell() -> None:
+    def _status_updater(self, entry: _EntryVM) -> Callable[[], None]:
+        def update_statuses() -> None:
             for name, engine in self._engine_by_name.items():
                 entry.snapshots[name] = engine.places.snapshot(self._now)
-            views = {
+            candidates = {
                 name: EngineCandidate(name, snapshot, "owner")
                 for name, snapshot in entry.snapshots.items()
             }
-            entry.chooser.recently_held.update(views)
+            entry.chooser.recently_held.update(candidates)
             entry.loads_by_engine.clear()
-            self._after(STATUS_S, tell)
+            self._after(STATUS_S, update_statuses)
 
-        return tell
+        return update_statuses
 
     def _arrive(self, key: AdapterKey) -> None:
         entry = self._rng.choice(self._entries)
-        views = {
+        candidates = {
             name: EngineCandidate(
                 name,
                 snapshot,
@@ -167,11 +168,11 @@
             )
             for name, snapshot in entry.snapshots.items()
         }
-        name = entry.chooser.choose(key, 1, views)
+        name = entry.chooser.choose(key, 1, candidates)
         assert name is not None
-        entry.loads_by_engine[name] += not views[name].holds(key, 1)
+        entry.loads_by_engine[name] += not candidates[name].holds(key, 1)
         tokens = max(8, min(278, int(self._rng.lognormvariate(3.7, 1.0))))
-        ask = QueuedRequest(
+        request = QueuedRequest(
             ask_id=f"r{next(self._numbers)}.0",
             entry_vm="entry",
             model="base",
@@ -183,9 +184,9 @@
             goal_at=self._now + self.load.goal_s,
             latest_start=self._now + self.load.patience_s,
         )
-        self._arrived_by_ask[ask.ask_id] = (self._now, tokens)
+        self._arrival_by_id[request.ask_id] = (self._now, tokens)
         engine = self._engine_by_name[name]
-        self._after(HOP_S, lambda: self._do(engine, engine.places.on_request, ask))
+        self._after(HOP_S, lambda: self._do(engine, engine.places.on_request, request))
 
     # Owners and engines.
 
@@ -204,13 +205,13 @@
     def _order(self, engine: _Engine, order) -> None:
         key = (order.model, order.adapter)
         if isinstance(order, OrderLoad):
-            warm = key in engine.host
+            warm = key in engine.cache
             self.result.warm_loads += warm
             self.result.cold_loads += not warm
-            engine.host[key] = None
-            engine.host.move_to_end(key)
-            if len(engine.host) > HOST_ADAPTERS:
-                engine.host.popitem(last=False)
+            engine.cache[key] = None
+            engine.cache.move_to_end(key)
+            if len(engine.cache) > CACHED_ADAPTERS:
+                engine.cache.popitem(last=False)
             engine.loading.add(key)
             took_s = WARM_LOAD_S if warm else COLD_LOAD_S
             self._after(took_s, lambda: self._loaded(engine, key))
@@ -238,23 +239,23 @@
         )
         self._do(engine, engine.places.on_report, facts)
 
-    def _start(self, engine: _Engine, ask: QueuedRequest) -> None:
+    def _start(self, engine: _Engine, request: QueuedRequest) -> None:
         engine.running += 1
         began = max(self._now, engine.prefill_ends_at)
-        engine.prefill_ends_at = began + ask.prompt_tokens / READ_TOKENS_PER_S
+        engine.prefill_ends_at = began + request.prompt_tokens / PREFILL_TOKENS_PER_S
         first_at = engine.prefill_ends_at + 0.08 * engine.speed
-        pace_s = TOKEN_S * engine.speed * (1.0 + SLOWER_BY_RUN * engine.running)
-        arrived, tokens = self._arrived_by_ask.pop(ask.ask_id)
-        self._at(first_at, lambda: self._first(engine, ask, arrived))
-        self._at(first_at + tokens * pace_s, lambda: self._end(engine, ask))
+        token_s = TOKEN_S * engine.speed * (1.0 + SLOWDOWN_PER_RUN * engine.running)
+        arrived, tokens = self._arrival_by_id.pop(request.ask_id)
+        self._at(first_at, lambda: self._first(engine, request, arrived))
+        self._at(first_at + tokens * token_s, lambda: self._end(engine, request))
 
-    def _first(self, engine: _Engine, ask: QueuedRequest, arrived: float) -> None:
+    def _first(self, engine: _Engine, request: QueuedRequest, arrived: float) -> None:
         self.result.first_event_s.append(self._now - arrived)
-        engine.places.on_started(ask.ask_id, self._now)
+        engine.places.on_started(request.ask_id, self._now)
 
-    def _end(self, engine: _Engine, ask: QueuedRequest) -> None:
+    def _end(self, engine: _Engine, request: QueuedRequest) -> None:
         engine.running -= 1
-        self._do(engine, engine.places.on_release, ask.ask_id)
+        self._do(engine, engine.places.on_release, request.ask_id)
 
     def _tick(self) -> None:
         for engine in self._engine_by_name.values():
@@ -264,4 +265,4 @@
 
 
 READY_S = 0.032
-"""After a load, the owner takes it for complete by its expected time."""
+"""From the end of a load until the owner expects it to be complete."""
--- a/tests/test_decisions_load_patterns.py
+++ b/tests/test_decisions_load_patterns.py
@@ -1,4 +1,4 @@
-"""Load patterns over the decision modules, judged by what callers receive."""
+"""Tests of the decision modules under load patterns, by what callers receive."""
 
 from dataclasses import replace
 
@@ -48,11 +48,7 @@
 
 
 class TestBurst:
-    """Sixty requests for one adapter arrive in a second on a half-busy system.
-
-    Callers of other adapters would wait behind the burst in a plain queue. What the
-    burst cannot get in time is refused at once, and the others hardly notice.
-    """
+    """Guards against a burst for one adapter that delays all other callers."""
 
     def test_others_hardly_wait(self) -> None:
         calm = base_load(0.6, 60.0)
@@ -77,10 +73,10 @@
 
 
 class TestHotCaller:
-    """One customer sends ten times its usual load; the others' waits stay."""
+    """Guards against one customer whose flood delays all others."""
 
     def test_others_are_served_as_before(self) -> None:
-        """The baseline's callers wait 2.8 s here; the issue's 20 % is not reached."""
+        """Guards against refusals and much longer waits of the other customers."""
         shares, p95 = {}, {}
         for hot in ("", "customer-4"):
             scenario = Scenario("hot", 0.6, seconds=120.0, hot_customer=hot)
@@ -92,10 +88,7 @@
 
 
 class TestHotKey:
-    """One adapter suddenly needs more than one engine can give.
-
-    Kept on one engine, most of its callers would be refused beside idle engines.
-    """
+    """Guards against a hot adapter that stays on one engine while others are idle."""
 
     def test_gets_copies(self) -> None:
         hot = [
@@ -109,7 +102,7 @@
 
 
 class TestSlowEndpoint:
-    """One of three engines answers four times slower for 40 s, then mends."""
+    """Guards against requests to an engine that is slow for a while."""
 
     def test_work_moves_away(self) -> None:
         scenario = Scenario(
@@ -125,11 +118,7 @@
 
 
 class TestLongAmongShort:
-    """Overnight copy fills the engines while parents keep asking.
-
-    First come, first served makes each short question wait behind the long jobs; pure
-    priority never ends the long ones.
-    """
+    """Guards against overnight work that delays interactive work, and starvation."""
 
     def test_short_ones_pass_and_long_ones_end(self) -> None:
         night = [
@@ -150,7 +139,7 @@
 
 
 class TestOverload:
-    """Three times what can be served: goodput stays, refusals come at once."""
+    """Guards against lower goodput and late refusals at three times the capacity."""
 
     def test_goodput_stays_flat(self) -> None:
         goodput = {}
@@ -162,14 +151,14 @@
         assert goodput[3.0] >= 0.95 * goodput[1.0]
         assert percentile([r.ended_at - r.arrived_at for r in refused], 0.5) < 0.1
 
-    def test_nobody_waits_longer_than_allowed(self) -> None:
+    def test_no_request_waits_longer_than_allowed(self) -> None:
         scenario = Scenario("overload", 3.0, seconds=60.0)
         result = run_scenario(SMALL, scenario, CHOSEN)
         assert all(r.wait_s <= r.max_wait_s + 0.2 for r in result.records)
 
 
 class TestPopularityShift:
-    """Every rank goes to another adapter at once: all slots hold the wrong ones."""
+    """Guards against slots that keep adapters which are no longer popular."""
 
     def test_recovers_within_seconds(self) -> None:
         scenario = Scenario("shift", 0.7, seconds=90.0, popularity_shift_at=45.0)
@@ -179,7 +168,7 @@
 
 
 class TestColdRestart:
-    """All engines restart with nothing loaded, within the store's rate."""
+    """Guards against a slow recovery when all engines restart empty."""
 
     def test_hot_adapters_are_back_first(self) -> None:
         scenario = Scenario("cold", 0.6, seconds=90.0, cold_restart_at=45.0)
@@ -189,10 +178,9 @@
 
 
 class TestWeightStoreDown:
-    """The weight store fails for 20 s; what is loaded is served as before.
+    """Guards against evictions and long waits while the weight store fails.
 
-    Evicting for loads that fail would empty the engines, and requests for what cannot
-    be loaded must not wait until their callers give up.
+    Loaded adapters must be served as before.
     """
 
     def test_loaded_adapters_are_served(self) -> None:
@@ -206,7 +194,7 @@
         assert percentile(refused, 0.5) < 5.0
 
     def test_waits_recover_after_it_is_back(self) -> None:
-        """Pooled over eight seeds: in one run of 90 requests p95 is mostly chance."""
+        """Pools several seeds, since one short run has few samples."""
         late: list[Record] = []
         for seed in range(1, 9):
             scenario = Scenario("down", 0.6, seconds=85.0, store_down_at=40.0)
