--- a/bamboovale/decisions/admission.py
+++ b/bamboovale/decisions/admission.py
@@ -200,8 +200,8 @@
             return None
         share = self._share(arrival.entry, now)
         if limits.concurrency is not None:
-            most = max(1, round(limits.concurrency * share))
-            if self._open_by_entry[arrival.entry] >= most:
+            max_open = max(1, round(limits.concurrency * share))
+            if self._open_by_entry[arrival.entry] >= max_open:
                 return _refuse_limited("concurrency", RETRY_S, rng)
         bucket = self._bucket(arrival.entry, now)
         rate = (limits.requests_per_s or 0.0) * share
@@ -216,17 +216,17 @@
 
     def _share(self, entry: str, now: float) -> float:
         """Return this entry VM's share of a limit, by the rates at its peers."""
-        equal = 1.0 / self._live_vms
+        equal_share = 1.0 / self._live_vms
         peer_rates = [
             rates
             for at, rates in self._usage_by_peer.values()
             if now - at <= USAGE_VALID_S
         ]
         if len(peer_rates) < self._live_vms - 1:
-            return equal
+            return equal_share
         others = sum(rates.get(entry, 0.0) for rates in peer_rates)
         own = self._bucket(entry, now).count_requests(0, now) + MIN_PUBLISHED_RATE
-        return max(equal, own / (own + others))
+        return max(equal_share, own / (own + others))
 
     def _bucket(self, entry: str, now: float) -> TokenBucket:
         bucket = self._bucket_by_entry.get(entry)
--- a/bamboovale/decisions/batching.py
+++ b/bamboovale/decisions/batching.py
@@ -124,7 +124,7 @@
         return len(self._entry_by_id)
 
     def __iter__(self) -> Iterator[WorkItem]:
-        return (waiting.item for waiting in self._entry_by_id.values())
+        return (entry.item for entry in self._entry_by_id.values())
 
     def __contains__(self, request_id: str) -> bool:
         return request_id in self._entry_by_id
@@ -153,10 +153,10 @@
         self._last_number += 1
         tag = self._order.tag(item)
         self._order.on_queued(item, tag, spacing_s, now)
-        waiting = QueueEntry(tag, self._last_number, item)
+        entry = QueueEntry(tag, self._last_number, item)
         by_class = self._entries_by_lora.setdefault(item.target.lora_name, {})
-        insort(by_class.setdefault(item.work_class, []), waiting)
-        self._entry_by_id[item.request_id] = waiting
+        insort(by_class.setdefault(item.work_class, []), entry)
+        self._entry_by_id[item.request_id] = entry
         self._items_by_class[item.work_class] += 1
         if item.exclusive:
             self._exclusive_ids[item.request_id] = None
@@ -188,7 +188,7 @@
         by_class = self._order.interactive_per_overnight() is not None
         if by_class and work_class is not item.work_class:
             return len(entries) if work_class is WorkClass.INTERACTIVE else 0
-        return bisect_right(entries, tag, key=lambda waiting: waiting.tag)
+        return bisect_right(entries, tag, key=lambda entry: entry.tag)
 
     def count_waited_adapters(self, lora_names: Iterable[str]) -> int:
         """Return how many of the given adapters have queued items."""
@@ -198,21 +198,21 @@
         """Return the last item of the class behind the given one, if any."""
         tag = self._order.tag(item)
         behind = [
-            waiting
-            for waiting in self._entry_by_id.values()
-            if waiting.item.work_class is item.work_class and waiting.tag > tag
+            entry
+            for entry in self._entry_by_id.values()
+            if entry.item.work_class is item.work_class and entry.tag > tag
         ]
         return max(behind).item if behind else None
 
     def remove(self, request_id: str) -> WorkItem | None:
         """Remove and return an item; None if it is not queued."""
-        waiting = self._entry_by_id.pop(request_id, None)
-        if waiting is None:
+        entry = self._entry_by_id.pop(request_id, None)
+        if entry is None:
             return None
-        item = waiting.item
+        item = entry.item
         self._exclusive_ids.pop(request_id, None)
         by_class = self._entries_by_lora[item.target.lora_name]
-        by_class[item.work_class].remove(waiting)
+        by_class[item.work_class].remove(entry)
         if not by_class[item.work_class]:
             del by_class[item.work_class]
         if not by_class:
--- a/bamboovale/decisions/prompt_pacing.py
+++ b/bamboovale/decisions/prompt_pacing.py
@@ -96,25 +96,25 @@
         The prompt follows all granted ones. The window of ``before_s`` moves on until
         its prefill fits into ``spare_s``.
         """
-        start = self.prefill_ends_at(now)
-        begins = start - before_s
-        over_s = self._prefill_between(begins, start) - spare_s
-        if over_s <= 0.0:
+        prefill_start = self.prefill_ends_at(now)
+        window_start = prefill_start - before_s
+        excess_s = self._prefill_between(window_start, prefill_start) - spare_s
+        if excess_s <= 0.0:
             return 0.0
         for span in self._spans:
-            inside_s = span.ends_at - max(begins, span.starts_at)
-            if inside_s <= 0.0:
+            overlap_s = span.ends_at - max(window_start, span.starts_at)
+            if overlap_s <= 0.0:
                 continue
-            if inside_s >= over_s:
-                begins = max(begins, span.starts_at) + over_s
+            if overlap_s >= excess_s:
+                window_start = max(window_start, span.starts_at) + excess_s
                 break
-            over_s -= inside_s
-            begins = span.ends_at
-        return max(MIN_WAIT_S, begins + before_s - now)
+            excess_s -= overlap_s
+            window_start = span.ends_at
+        return max(MIN_WAIT_S, window_start + before_s - now)
 
-    def _prefill_between(self, begins: float, ends: float) -> float:
+    def _prefill_between(self, window_start: float, window_end: float) -> float:
         return sum(
-            max(0.0, min(ends, span.ends_at) - max(begins, span.starts_at))
+            max(0.0, min(window_end, span.ends_at) - max(window_start, span.starts_at))
             for span in self._spans
         )
 
--- a/bamboovale/decisions/routing.py
+++ b/bamboovale/decisions/routing.py
@@ -226,8 +226,8 @@
 
     def _eject(self, name: str, now: float) -> None:
         if name not in self._ejected:
-            most = max(1, int(len(self._names) * MAX_EJECTED_SHARE))
-            if len(self._names) < 2 or len(self._ejected) >= most:
+            max_ejected = max(1, int(len(self._names) * MAX_EJECTED_SHARE))
+            if len(self._names) < 2 or len(self._ejected) >= max_ejected:
                 return
         endpoint = self._endpoint_by_id[name]
         pause = FIRST_EJECTION_S * 2.0**endpoint.ejections_in_row
--- a/tests/test_decisions_order_timeout.py
+++ b/tests/test_decisions_order_timeout.py
@@ -16,14 +16,14 @@
     def test_a_slow_engine_is_awaited(self) -> None:
         """Guards against repeating every order at a slow VM."""
         timeout = OrderTimeout()
-        repeats = 0
+        retries = 0
         for _ in range(30):
             lost = 0
             while timeout.timeout_s(lost) < 0.1:
                 lost += 1
-            repeats += lost
+            retries += lost
             timeout.on_answer(0.1)
-        assert repeats <= 6
+        assert retries <= 6
 
     def test_the_timeout_is_bounded(self) -> None:
         timeout = OrderTimeout()
