--- a/bamboovale/decisions/policy.py
+++ b/bamboovale/decisions/policy.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from bamboovale.decisions.batching import ArrivalOrder, FairOrder, QueueOrder
-from bamboovale.decisions.slots import LeastRecentlyUsed, LeastValued, SlotRule
+from bamboovale.decisions.slot_table import LeastRecentlyUsed, LeastValued, SlotRule
 
 DEFAULT_STALL_WEIGHT = 0.5
 
--- a/bamboovale/decisions/slot_planner.py
+++ b/bamboovale/decisions/slot_planner.py
@@ -20,7 +20,7 @@
 from bamboovale.decisions.estimates import MovingAverage
 from bamboovale.decisions.permits import PermitBook
 from bamboovale.decisions.policy import Policy
-from bamboovale.decisions.slots import (
+from bamboovale.decisions.slot_table import (
     EXCHANGE_FACTOR,
     MAX_BACK_OFF_S,
     RESIDENCE_LOADS,
