--- a/bench/decision_speed.py
+++ b/bench/decision_speed.py
@@ -19,7 +19,7 @@
     PlacementConfig,
 )
 from bamboovale.decisions.policy import Policy
-from bamboovale.decisions.retries import RetryBudget, RetryConfig
+from bamboovale.decisions.retry_budget import RetryBudget, RetryConfig
 from bamboovale.decisions.routing import ServiceRouter
 from bamboovale.decisions.suspects import CrashNotice, Suspects
 from bamboovale.decisions.work import EngineHint, EngineView, Grant, WorkItem
--- a/tests/test_decisions_routing.py
+++ b/tests/test_decisions_routing.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from bamboovale.decisions.retries import RetryBudget, RetryConfig
+from bamboovale.decisions.retry_budget import RetryBudget, RetryConfig
 from bamboovale.decisions.routing import ServiceRouter
 
 ENDPOINTS = ["counter-1", "counter-2", "counter-3", "counter-4"]
