--- a/bamboovale/emulator/caller.py
+++ b/bamboovale/emulator/caller.py
@@ -22,7 +22,7 @@
 """As entry VMs of the routed interface do."""
 
 
-class PlayView(Protocol):
+class SimulationView(Protocol):
     """What a request needs of the play that it belongs to."""
 
     env: simpy.Environment
@@ -79,7 +79,7 @@
 
     def __init__(
         self,
-        play: PlayView,
+        play: SimulationView,
         outcome: Outcome,
         adapter: str,
         prompt_tokens: int,
--- a/bamboovale/emulator/experiment.py
+++ b/bamboovale/emulator/experiment.py
@@ -11,7 +11,6 @@
 from bamboovale.decoding import BadRecordError, refuse_unknown, structure
 from bamboovale.emulator.engine import EngineFigures
 from bamboovale.emulator.outcomes import Result
-from bamboovale.emulator.play import Play
 from bamboovale.emulator.scenario import (
     FAULT_KINDS,
     Deployment,
@@ -21,6 +20,7 @@
     Scenario,
     Tokens,
 )
+from bamboovale.emulator.simulation import Simulation
 from bamboovale.plotting import axes_saved_to
 
 SHOWN = (
@@ -151,7 +151,7 @@
         if number % parts != part - 1:
             continue
         mechanisms = Mechanisms.without(policy.without)
-        result = Play(experiment.scenario, seed, mechanisms).run()
+        result = Simulation(experiment.scenario, seed, mechanisms).run()
         by_second = result.in_time_by_second()
         rows.append(Row(policy.name, seed, result.figures(), by_second))
         on_played()
--- a/bamboovale/emulator/play.py
+++ b/bamboovale/emulator/simulation.py
@@ -26,7 +26,7 @@
 """Played on after the last request, so that streams can end."""
 
 
-class Play:
+class Simulation:
     """One play of a scenario with one seed; ``run`` returns what callers got."""
 
     def __init__(
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -18,7 +18,6 @@
 )
 from bamboovale.emulator.experiment import BadExperimentError, Experiment
 from bamboovale.emulator.outcomes import Result
-from bamboovale.emulator.play import Play
 from bamboovale.emulator.scenario import (
     Deployment,
     EngineGroup,
@@ -27,6 +26,7 @@
     Scenario,
     Tokens,
 )
+from bamboovale.emulator.simulation import Simulation
 
 FIGURES = EngineFigures()
 SLOWER = replace(FIGURES, slowness=1.3)
@@ -52,7 +52,7 @@
 ) -> Result:
     deployment = Deployment(groups, entry_vms=3, adapters=40)
     scenario = Scenario(deployment, (kind,), 12.0, clump, faults)
-    return Play(scenario, seed, Mechanisms.without(without)).run()
+    return Simulation(scenario, seed, Mechanisms.without(without)).run()
 
 
 class TestEngineModel:
