--- a/bamboovale/emulator/owner.py
+++ b/bamboovale/emulator/owner.py
@@ -74,7 +74,7 @@
 
     # Entry VMs.
 
-    def ask(self, ask: QueuedRequest, reply: Reply) -> None:
+    def request_place(self, ask: QueuedRequest, reply: Reply) -> None:
         """Decide on a request, now or later."""
         if self._stopped:
             reply(None)
