--- a/bamboovale/emulator/owner.py
+++ b/bamboovale/emulator/owner.py
@@ -94,7 +94,7 @@
         """Free a place."""
         self._carry_out(self.places.on_release(ask_id, self._env.now))
 
-    def refused_run(self, ask_id: str) -> None:
+    def on_run_refused(self, ask_id: str) -> None:
         """Take an engine's refusal of a run."""
         now = self._env.now
         self._carry_out(self.places.on_run_refused(ask_id, now, not_held=True))
