--- a/bamboovale/emulator/owner.py
+++ b/bamboovale/emulator/owner.py
@@ -82,7 +82,7 @@
         self._reply_by_ask[ask.ask_id] = reply
         self._carry_out(self.places.on_request(ask, self._env.now))
 
-    def started(self, ask_id: str) -> None:
+    def on_started(self, ask_id: str) -> None:
         """Note a run's first event."""
         self.places.on_started(ask_id, self._env.now)
 
