--- a/bamboovale/emulator/owner.py
+++ b/bamboovale/emulator/owner.py
@@ -86,7 +86,7 @@
         """Note a run's first event."""
         self.places.on_started(ask_id, self._env.now)
 
-    def paused(self, ask_id: str, pause_s: float) -> None:
+    def on_stall(self, ask_id: str, pause_s: float) -> None:
         """Note a long pause of a run's stream."""
         self.places.on_stall(ask_id, pause_s, self._env.now)
 
