--- a/bamboovale/emulator/caller.py
+++ b/bamboovale/emulator/caller.py
@@ -64,7 +64,7 @@
             if name in live
         }
 
-    def hear(self, name: str, snapshot: EngineSnapshot, *, whole: bool) -> None:
+    def on_status(self, name: str, snapshot: EngineSnapshot, *, whole: bool) -> None:
         """Take an owner's word; only a ``whole`` one tells which adapters are there."""
         known = self.snapshot_by_engine.get(name)
         if known is not None and not whole:
