--- a/bamboovale/emulator/engine.py
+++ b/bamboovale/emulator/engine.py
@@ -54,13 +54,13 @@
     on_end: Callable[[float], Any]
     on_lost: Callable[[], Any] = lambda: None
     parts: tuple[tuple[str, int], ...] = ()
-    unread: int = 0
+    unread_tokens: int = 0
     made: int = 0
 
     @property
     def context_tokens(self) -> int:
         """Return the tokens that it holds in memory."""
-        return self.prompt_tokens - self.unread + self.made
+        return self.prompt_tokens - self.unread_tokens + self.made
 
 
 @dataclass
