--- a/bamboovale/emulator/engine.py
+++ b/bamboovale/emulator/engine.py
@@ -55,12 +55,12 @@
     on_lost: Callable[[], Any] = lambda: None
     parts: tuple[tuple[str, int], ...] = ()
     unread_tokens: int = 0
-    made: int = 0
+    generated_tokens: int = 0
 
     @property
     def context_tokens(self) -> int:
         """Return the tokens that it holds in memory."""
-        return self.prompt_tokens - self.unread_tokens + self.made
+        return self.prompt_tokens - self.unread_tokens + self.generated_tokens
 
 
 @dataclass
