--- a/bamboovale/emulator/engine.py
+++ b/bamboovale/emulator/engine.py
@@ -119,7 +119,7 @@
 
     # Requests.
 
-    def begin(self, run: EngineRun, version: int) -> bool:
+    def start(self, run: EngineRun, version: int) -> bool:
         """Begin a request; False if the engine refuses it."""
         held = self.version_by_adapter.get(run.adapter)
         if held != version or len(self._runs) >= self.figures.places:
--- a/tests/test_decisions_prompt_pacing.py
+++ b/tests/test_decisions_prompt_pacing.py
@@ -96,7 +96,7 @@
             on_event,
             on_end=lambda now: None,
         )
-        assert self.engine.begin(run, 1)
+        assert self.engine.start(run, 1)
 
     def warm_up(self, seed: int = 1) -> None:
         """Let it learn from prompts that come one at a time."""
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -104,7 +104,7 @@
                 lambda now: None,
                 parts=(("p", 600),),
             )
-            assert engine.begin(run, 1)
+            assert engine.start(run, 1)
             engine.env.run(engine.env.now + 1.0)
         assert engine.counts.cached_tokens == 600
         assert engine.counts.read_tokens == 1400
@@ -120,10 +120,10 @@
     def test_what_is_not_loaded_is_refused(self) -> None:
         engine = self.engine()
         run = EngineRun("r", ("base", "a2"), 10, 1, lambda now: None, lambda now: None)
-        assert not engine.begin(run, 1)
+        assert not engine.start(run, 1)
         engine.load(("base", "a2"), 1)
         engine.env.run(1.0)
-        assert engine.begin(run, 1)
+        assert engine.start(run, 1)
         assert (engine.counts.cold_loads, engine.counts.refused) == (1, 1)
 
 
