--- a/bamboovale/emulator/caller.py
+++ b/bamboovale/emulator/caller.py
@@ -126,7 +126,7 @@
             return None
         yield self._env.timeout(self._play.hop_s)
         answered = self._env.event()
-        owner.ask(self._place_ask(asked_at), answered.succeed)
+        owner.request_place(self._place_ask(asked_at), answered.succeed)
         decision = yield answered
         yield self._env.timeout(self._play.hop_s)
         return decision
@@ -169,8 +169,8 @@
             on_lost=lambda: ended.succeed(False),
             parts=(("shared", self._kind.shared_tokens),),
         )
-        if not owner.engine.begin(run, grant.version):
-            owner.refused_run(grant.request.ask_id)
+        if not owner.engine.start(run, grant.version):
+            owner.on_run_refused(grant.request.ask_id)
             return False
         left_s = self._outcome.asked_at + self._kind.deadline_s - self._env.now
         yield ended | self._env.timeout(max(0.0, left_s))
@@ -202,10 +202,10 @@
         outcome = self._outcome
         if self._last_at is None:
             outcome.first_s = now - outcome.asked_at
-            self._owner.started(self._ask_id)
+            self._owner.on_started(self._ask_id)
         else:
             pause_s = now - self._last_at
             if pause_s > self._kind.pause_s >= outcome.longest_pause_s:
-                self._owner.paused(self._ask_id, pause_s)
+                self._owner.on_stall(self._ask_id, pause_s)
             outcome.longest_pause_s = max(outcome.longest_pause_s, pause_s)
         self._last_at = now
--- a/bamboovale/emulator/engine.py
+++ b/bamboovale/emulator/engine.py
@@ -127,7 +127,7 @@
             return False
         cached = self._cached_tokens(run)
         self.counts.cached_tokens += cached
-        run.unread = max(1, run.prompt_tokens - cached)
+        run.unread_tokens = max(1, run.prompt_tokens - cached)
         self._runs.append(run)
         if not self._wake.triggered:
             self._wake.succeed()
@@ -179,8 +179,8 @@
         """Read the first prompts that wait, as far as one step goes."""
         left = self.figures.piece_tokens
         for run in self._runs:
-            piece = min(left, run.unread)
-            run.unread -= piece
+            piece = min(left, run.unread_tokens)
+            run.unread_tokens -= piece
             left -= piece
             if not left:
                 break
@@ -192,13 +192,13 @@
         now = self.env.now
         ended = []
         for run in list(self._runs):
-            if run.unread:
+            if run.unread_tokens:
                 continue
-            run.made += 1
-            last = run.made >= run.output_tokens
-            if last or run.made % self.figures.tokens_per_event == 1:
+            run.generated_tokens += 1
+            last = run.generated_tokens >= run.output_tokens
+            if last or run.generated_tokens % self.figures.tokens_per_event == 1:
                 run.on_event(now)
-            if run.made == 1:
+            if run.generated_tokens == 1:
                 self._keep_parts(run)
             if last:
                 ended.append(run)
@@ -221,10 +221,10 @@
                 self._cached.popitem(last=False)
                 continue
             newest = self._runs[-1]
-            if len(self._runs) == 1 or newest.unread == newest.prompt_tokens:
+            if len(self._runs) == 1 or newest.unread_tokens == newest.prompt_tokens:
                 return
             used -= newest.context_tokens
-            newest.unread = newest.prompt_tokens
+            newest.unread_tokens = newest.prompt_tokens
             self.counts.preempted += 1
 
     # Orders.
--- a/bamboovale/emulator/simulation.py
+++ b/bamboovale/emulator/simulation.py
@@ -112,7 +112,7 @@
             self._note_held_up()
             for name, owner in self._owner_by_name.items():
                 snapshot = owner.places.snapshot(self.env.now)
-                entry.hear(name, snapshot, whole=turn % whole_every == 0)
+                entry.on_status(name, snapshot, whole=turn % whole_every == 0)
             entry.chooser.recently_held.update(entry.views(set(self._owner_by_name)))
             yield self.env.timeout(interval_s)
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -66,7 +66,7 @@
     def run_one(self, engine: EngineModel, prompt: int, output: int) -> list[float]:
         at: list[float] = []
         run = EngineRun(f"r{id(at)}", KEY, prompt, output, at.append, lambda now: None)
-        assert engine.begin(run, 1)
+        assert engine.start(run, 1)
         return at
 
     def test_a_prompt_is_read_at_the_engines_speed(self) -> None:
