--- a/bamboovale/emulator/__init__.py
+++ b/bamboovale/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Plays the decisions about engines in virtual time against a model of the engines."""
+"""Simulates the decisions about engines in virtual time on a model of the engines."""
--- a/bamboovale/emulator/outcomes.py
+++ b/bamboovale/emulator/outcomes.py
@@ -1,4 +1,4 @@
-"""What callers got in one play, and what it cost."""
+"""Outcomes of the requests of one simulation and its summary figures."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -9,7 +9,10 @@
 
 @dataclass
 class Outcome:
-    """One request; ``first_s`` None if no event came."""
+    """Outcome of one request; times in seconds.
+
+    ``first_s`` is the time to the first event, None if there was none.
+    """
 
     kind: RequestKind
     asked_at: float
@@ -20,7 +23,7 @@
 
     @property
     def is_in_time(self) -> bool:
-        """Tell whether the first event and every later one came in time."""
+        """Return whether the stream is complete and met its goal and pause limit."""
         if not self.complete or self.first_s is None:
             return False
         paused = self.longest_pause_s > self.kind.pause_s
@@ -28,7 +31,7 @@
 
     @property
     def credit(self) -> float:
-        """Return what it earned: 1 in time, less if late, nothing if unserved."""
+        """Return 1 if in time, the kind's late credit if late and 0 if unserved."""
         if not self.complete:
             return 0.0
         return 1.0 if self.is_in_time else self.kind.late_credit
@@ -36,13 +39,13 @@
 
 @dataclass
 class Result:
-    """All requests of one play, and what the engines did."""
+    """Outcomes of all requests of one simulation and the engines' summed counts."""
 
     outcomes: list[Outcome] = field(default_factory=list)
     counts: Counter[str] = field(default_factory=Counter)
 
     def figures(self) -> dict[str, float]:
-        """Return the figures of the whole play by name."""
+        """Return the summary figures of the simulation by name."""
         firsts = [o.first_s for o in self.outcomes if o.first_s is not None]
         pauses = [o.longest_pause_s for o in self.outcomes if o.complete]
         return {
@@ -61,7 +64,7 @@
         }
 
     def in_time_by_second(self, step_s: float = 2.0) -> list[tuple[float, float]]:
-        """Return the share in time of the requests of each stretch of the play."""
+        """Return (start, share in time) of the requests of each ``step_s`` seconds."""
         by_step: dict[int, list[float]] = {}
         for outcome in self.outcomes:
             step = int(outcome.asked_at // step_s)
@@ -72,7 +75,7 @@
         ]
 
     def first_within(self, goal_s: float) -> float:
-        """Return the share of all requests whose first event came by then."""
+        """Return the share of requests whose first event arrived within ``goal_s``."""
         return self._share(lambda o: o.first_s is not None and o.first_s <= goal_s)
 
     def _share(self, value: "object") -> float:
@@ -91,6 +94,6 @@
 
 
 def quantile(values: Sequence[float], share: float) -> float:
-    """Return the value below which ``share`` of the values lie; 0 without values."""
+    """Return the ``share`` quantile of the values, 0 if there are none."""
     ordered = sorted(values)
     return ordered[int((len(ordered) - 1) * share)] if ordered else 0.0
--- a/bamboovale/emulator/scenario.py
+++ b/bamboovale/emulator/scenario.py
@@ -1,4 +1,4 @@
-"""What a play is made of: engines, entry VMs, kinds of requests, faults."""
+"""Scenario of a simulation: engines, entry VMs, kinds of requests and faults."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,11 @@
 
 @dataclass(frozen=True)
 class Tokens:
-    """Lengths drawn from a log-normal distribution, cut at ``most``."""
+    """Log-normal distribution of token counts, truncated at ``most``.
+
+    ``mean`` is the mean of the distribution, ``spread`` the standard deviation of the
+    logarithm; with ``spread`` 0 every count is the mean.
+    """
 
     mean: float
     spread: float = 0.0
@@ -16,7 +20,13 @@
 
 @dataclass(frozen=True)
 class RequestKind:
-    """One kind of request; ``shared_tokens`` begin every prompt of one adapter."""
+    """One kind of request; times in seconds.
+
+    ``per_s`` is the arrival rate. A request is in time if its first event arrives
+    within ``goal_s`` and no pause between events exceeds ``pause_s``; a late but
+    complete one earns ``late_credit`` instead of 1. ``shared_tokens`` is the length of
+    the prefix that all prompts of an adapter share.
+    """
 
     name: str
     per_s: float
@@ -31,7 +41,7 @@
 
 @dataclass(frozen=True)
 class EngineGroup:
-    """Engines that are alike."""
+    """A number of identical engines."""
 
     count: int
     figures: EngineFigures
@@ -41,10 +51,12 @@
 class Deployment:
     """Engines and entry VMs; times in seconds.
 
-    ``hop_s`` is one way between two VMs or to an engine, ``load_word_s`` and
-    ``status_s`` how often owners tell others how busy and how loaded an engine is.
-    ``loads_at_full_speed`` is how many loads the weight store serves at once before
-    each takes longer.
+    ``hop_s`` is the one-way latency between two VMs or to an engine, ``report_lag_s``
+    the delay of an engine's report. ``load_word_s`` is the interval at which owners
+    publish how busy an engine is, ``status_s`` the interval of the full status, which
+    includes the loaded adapters. ``skew`` is the Zipf exponent of the adapters'
+    popularity. ``loads_at_full_speed`` is the number of concurrent loads above which
+    the weight store slows them all down.
     """
 
     engines: tuple[EngineGroup, ...]
@@ -60,11 +72,13 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """Something that happens from ``at`` on for ``for_s`` seconds.
+    """A fault that starts at second ``at`` and lasts ``for_s`` seconds.
 
-    ``crowd`` multiplies the arrivals by ``x``, ``slow`` the times of a ``share`` of the
-    engines; ``crash`` stops a share, which come back empty; ``shift`` makes other
-    adapters popular; ``lost_orders`` leaves a share of the orders without an answer.
+    ``crowd`` multiplies the arrival rate by ``x``. ``slow`` multiplies the step times
+    of a ``share`` of the engines by ``x``. ``crash`` stops a ``share`` of the engines,
+    which restart without loaded adapters. ``shift`` moves the popularity ranking by ``x``
+    adapters and is permanent. ``lost_orders`` drops the answers to a ``share`` of the
+    orders.
     """
 
     kind: str
@@ -79,9 +93,9 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """A deployment under a load; callers ask from second 0 to ``seconds``.
+    """A deployment under a load; requests arrive from second 0 to ``seconds``.
 
-    ``clump`` is how many requests come together on average.
+    ``clump`` is the mean number of requests that arrive together.
     """
 
     deployment: Deployment
