--- a/bamboovale/emulator/engine.py
+++ b/bamboovale/emulator/engine.py
@@ -1,9 +1,9 @@
-"""Model of one engine: steps of a batch, prompts read in pieces between them.
+"""Model of one engine: continuous batching with chunked prefill.
 
-In each step every running stream makes a token, and a piece of the prompts that wait to
-be read is read; the more is read, the longer all streams of the batch wait for their
-next token. Prompts of the same adapter share their first parts, which are kept while
-there is memory. Loads of adapters take a place in the engine's slots from their order.
+In each step every running stream generates one token and one chunk of the pending
+prompts is prefilled; a larger chunk delays the next token of all streams in the batch.
+Shared prompt prefixes of an adapter are cached while there is KV memory. An adapter
+occupies a slot as soon as its load is ordered.
 """
 
 from collections import OrderedDict
@@ -19,12 +19,14 @@
 
 @dataclass(frozen=True)
 class EngineFigures:
-    """What tells engines apart; times in seconds at ``slowness`` 1.
-
-    ``step_s`` is a step without prompts, ``step_s_per_run`` and ``step_s_per_ktoken``
-    what each running stream and each thousand tokens of context add. ``piece_tokens``
-    are read in one step at most. An event carries ``tokens_per_event``, the first one
-    comes with the first token.
+    """Capacity and speed of an engine; times in seconds at ``slowness`` 1.
+
+    ``step_s`` is the time of a step without prefill; ``step_s_per_run`` and
+    ``step_s_per_ktoken`` are added for each running stream and each thousand tokens of
+    context. ``read_tokens_per_s`` is the prefill rate and ``piece_tokens`` the largest
+    chunk prefilled in one step. ``kept_adapters`` is the capacity of the engine's local
+    cache: a cached adapter loads in ``warm_load_s``, others in ``cold_load_s``. An
+    event carries ``tokens_per_event`` tokens; the first is sent with the first token.
     """
 
     places: int = 48
@@ -44,7 +46,12 @@
 
 @dataclass
 class EngineRun:
-    """One request at the engine; ``parts`` are shared first parts of its prompt."""
+    """One request at the engine.
+
+    ``parts`` are the names and token counts of its prompt's shared prefixes.
+    ``on_event`` and ``on_end`` are called with the time, ``on_lost`` when the engine
+    crashes.
+    """
 
     run_id: str
     adapter: AdapterKey
@@ -59,13 +66,17 @@
 
     @property
     def context_tokens(self) -> int:
-        """Return the tokens that it holds in memory."""
+        """Return the number of tokens that it holds in KV memory."""
         return self.prompt_tokens - self.unread_tokens + self.generated_tokens
 
 
 @dataclass
 class EngineCounts:
-    """What the engine did."""
+    """Counters of one engine.
+
+    ``overfilled`` counts loads beyond the adapter slots. ``read_tokens`` are prompt
+    tokens that were prefilled, ``cached_tokens`` those found in the prefix cache.
+    """
 
     cold_loads: int = 0
     warm_loads: int = 0
@@ -77,25 +88,25 @@
 
 
 class SharedStore:
-    """The weight store of all engines: loads at once slow one another down."""
+    """Weight store of all engines; concurrent loads slow one another down."""
 
     def __init__(self, at_full_speed: int = 8) -> None:
         self._at_full_speed = at_full_speed
-        self._under_way = 0
+        self._loads_in_flight = 0
 
     def begin(self) -> float:
-        """Begin a load; return by how much it takes longer."""
-        self._under_way += 1
-        return max(1.0, self._under_way / self._at_full_speed)
+        """Start a load; return the factor by which it is slowed down."""
+        self._loads_in_flight += 1
+        return max(1.0, self._loads_in_flight / self._at_full_speed)
 
     def end(self) -> None:
         """End a load."""
-        self._under_way -= 1
+        self._loads_in_flight -= 1
 
 
 @dataclass
 class EngineModel:
-    """One engine in virtual time."""
+    """Simulated engine in virtual time."""
 
     env: simpy.Environment
     figures: EngineFigures
@@ -107,20 +118,20 @@
 
     def __post_init__(self) -> None:
         self._runs: list[EngineRun] = []
-        self._held: OrderedDict[AdapterKey, int] = OrderedDict()
+        self._kept_version_by_adapter: OrderedDict[AdapterKey, int] = OrderedDict()
         self._cached: OrderedDict[PartKey, int] = OrderedDict()
         self._wake = self.env.event()
         self.env.process(self._step_forever())
 
     @property
     def active(self) -> int:
-        """Return how many requests run."""
+        """Return the number of running requests."""
         return len(self._runs)
 
     # Requests.
 
     def start(self, run: EngineRun, version: int) -> bool:
-        """Begin a request; False if the engine refuses it."""
+        """Start a request; return False if the engine refuses it."""
         held = self.version_by_adapter.get(run.adapter)
         if held != version or len(self._runs) >= self.figures.places:
             self.counts.refused += 1
@@ -134,11 +145,11 @@
         return True
 
     def cancel(self, run_id: str) -> None:
-        """End a request whose caller is gone."""
+        """Remove a request without calling ``on_end``."""
         self._runs = [run for run in self._runs if run.run_id != run_id]
 
     def crash(self) -> list[EngineRun]:
-        """Lose everything but what is kept on disk; return what ran."""
+        """Clear all state but the adapter cache; return the requests that ran."""
         lost, self._runs = self._runs, []
         self.version_by_adapter.clear()
         self.loading.clear()
@@ -162,10 +173,10 @@
             if not self._runs:
                 self._wake = self.env.event()
                 yield self._wake
-            self._make_room()
-            read = self._read_piece()
+            self._free_memory()
+            read = self._prefill_chunk()
             yield self.env.timeout(self._step_s(read))
-            self._make_tokens()
+            self._generate_tokens()
 
     def _step_s(self, read_tokens: int) -> float:
         figures = self.figures
@@ -175,8 +186,8 @@
         step_s += read_tokens / figures.read_tokens_per_s
         return step_s * figures.slowness * self.slowness
 
-    def _read_piece(self) -> int:
-        """Read the first prompts that wait, as far as one step goes."""
+    def _prefill_chunk(self) -> int:
+        """Prefill pending prompts in order, up to one chunk; return its tokens."""
         left = self.figures.piece_tokens
         for run in self._runs:
             piece = min(left, run.unread_tokens)
@@ -188,7 +199,7 @@
         self.counts.read_tokens += read
         return read
 
-    def _make_tokens(self) -> None:
+    def _generate_tokens(self) -> None:
         now = self.env.now
         ended = []
         for run in list(self._runs):
@@ -199,7 +210,7 @@
             if last or run.generated_tokens % self.figures.tokens_per_event == 1:
                 run.on_event(now)
             if run.generated_tokens == 1:
-                self._keep_parts(run)
+                self._cache_parts(run)
             if last:
                 ended.append(run)
         self._runs = [run for run in self._runs if run not in ended]
@@ -208,13 +219,13 @@
 
     # Memory.
 
-    def _keep_parts(self, run: EngineRun) -> None:
+    def _cache_parts(self, run: EngineRun) -> None:
         for part, size in run.parts:
             self._cached[(run.adapter, part)] = size
             self._cached.move_to_end((run.adapter, part))
 
-    def _make_room(self) -> None:
-        """Drop kept parts, then put the newest requests back to be read anew."""
+    def _free_memory(self) -> None:
+        """Evict cached prefixes, then preempt the newest requests."""
         used = sum(run.context_tokens for run in self._runs)
         while used + sum(self._cached.values()) > self.figures.kv_tokens:
             if self._cached:
@@ -230,24 +241,24 @@
     # Orders.
 
     def load(self, adapter: AdapterKey, version: int) -> None:
-        """Begin to load an adapter, from the engine's own memory if it is kept."""
+        """Start to load an adapter, from the local cache if it is there."""
         held = self.version_by_adapter.keys() | self.loading.keys() | {adapter}
         self.counts.overfilled += len(held) > self.figures.adapter_slots
         self.loading[adapter] = version
         self.env.process(self._load(adapter, version))
 
     def unload(self, adapter: AdapterKey) -> None:
-        """Drop an adapter that no request uses."""
+        """Unload an adapter."""
         self.version_by_adapter.pop(adapter, None)
 
     def _load(self, adapter: AdapterKey, version: int) -> Generator[Any, Any, None]:
-        warm = self._held.get(adapter) == version
+        warm = self._kept_version_by_adapter.get(adapter) == version
         self.counts.warm_loads += warm
         self.counts.cold_loads += not warm
-        self._held[adapter] = version
-        self._held.move_to_end(adapter)
-        if len(self._held) > self.figures.kept_adapters:
-            self._held.popitem(last=False)
+        self._kept_version_by_adapter[adapter] = version
+        self._kept_version_by_adapter.move_to_end(adapter)
+        if len(self._kept_version_by_adapter) > self.figures.kept_adapters:
+            self._kept_version_by_adapter.popitem(last=False)
         if warm:
             yield self.env.timeout(self.figures.warm_load_s)
         else:
--- a/bamboovale/emulator/owner.py
+++ b/bamboovale/emulator/owner.py
@@ -1,4 +1,4 @@
-"""An engine's owner in virtual time: the real decisions, carried out on a model."""
+"""Emulated engine owner: runs the real decisions on an engine model."""
 
 import random
 from collections.abc import Callable, Generator
@@ -23,18 +23,18 @@
 
 MODEL = "base"
 TICK_S = 0.1
-REPORT_IDLE_S = 2.0
-REPORT_LOADING_S = 0.06
-"""As the owners' tasks of the routed interface do."""
+IDLE_POLL_INTERVAL_S = 2.0
+LOADING_POLL_INTERVAL_S = 0.06
+"""Same values as in ``bamboovale.gateway.engine_owner``."""
 LOST_ANSWER_S = 0.12
-"""An order whose answer is lost is found out by a report after so long."""
+"""Delay until a report reveals the result of an order whose answer was lost."""
 
 Reply = Callable[[Grant | Refuse | None], Any]
-"""Takes the owner's decision; None if the engine is gone."""
+"""Receives the owner's decision, None if the owner has stopped."""
 
 
 class EmulatedOwner:
-    """Owns one engine until ``stop``."""
+    """Owner of one engine until ``stop``."""
 
     def __init__(
         self,
@@ -66,7 +66,7 @@
         env.process(self._tick_forever())
 
     def stop(self) -> None:
-        """End; whoever waits asks elsewhere."""
+        """Stop; pending requests are answered with None and try another engine."""
         self._stopped = True
         replies, self._reply_by_ask = self._reply_by_ask, {}
         for reply in replies.values():
@@ -75,44 +75,44 @@
     # Entry VMs.
 
     def request_place(self, ask: QueuedRequest, reply: Reply) -> None:
-        """Decide on a request, now or later."""
+        """Request a place; ``reply`` is called with the decision, now or later."""
         if self._stopped:
             reply(None)
             return
         self._reply_by_ask[ask.ask_id] = reply
-        self._carry_out(self.places.on_request(ask, self._env.now))
+        self._execute(self.places.on_request(ask, self._env.now))
 
     def on_started(self, ask_id: str) -> None:
-        """Note a run's first event."""
+        """Record a run's first event."""
         self.places.on_started(ask_id, self._env.now)
 
     def on_stall(self, ask_id: str, pause_s: float) -> None:
-        """Note a long pause of a run's stream."""
+        """Record a stall of a run's stream."""
         self.places.on_stall(ask_id, pause_s, self._env.now)
 
     def release(self, ask_id: str) -> None:
-        """Free a place."""
-        self._carry_out(self.places.on_release(ask_id, self._env.now))
+        """Release the place of a request."""
+        self._execute(self.places.on_release(ask_id, self._env.now))
 
     def on_run_refused(self, ask_id: str) -> None:
-        """Take an engine's refusal of a run."""
+        """Handle an engine's refusal of a run."""
         now = self._env.now
-        self._carry_out(self.places.on_run_refused(ask_id, now, not_held=True))
+        self._execute(self.places.on_run_refused(ask_id, now, not_held=True))
         self._env.process(self._report())
 
-    # Carrying out.
+    # Actions.
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Grant | Refuse):
                 reply = self._reply_by_ask.pop(action.request.ask_id, None)
                 if reply is not None:
                     reply(action)
             else:
-                self._env.process(self._order(action))
-        self._decide_again()
+                self._env.process(self._send_order(action))
+        self._schedule_decision()
 
-    def _decide_again(self) -> None:
+    def _schedule_decision(self) -> None:
         at = self.places.next_decision_at()
         if at is None or (self._timer_at is not None and self._timer_at <= at):
             return
@@ -124,9 +124,9 @@
         if self._timer_at == at:
             self._timer_at = None
         if not self._stopped:
-            self._carry_out(self.places.decide(self._env.now))
+            self._execute(self.places.decide(self._env.now))
 
-    def _order(self, order: OrderLoad | OrderUnload) -> Generator[Any, Any, None]:
+    def _send_order(self, order: OrderLoad | OrderUnload) -> Generator[Any, Any, None]:
         yield self._env.timeout(self._deployment.hop_s)
         assert order.adapter is not None
         key = (order.model, order.adapter)
@@ -144,7 +144,7 @@
             return
         at_once = isinstance(order, OrderUnload)
         now = self._env.now
-        self._carry_out(self.places.on_order_done(order, now, at_once=at_once))
+        self._execute(self.places.on_order_done(order, now, at_once=at_once))
 
     # Reports.
 
@@ -152,7 +152,9 @@
         while not self._stopped:
             yield self._env.process(self._report())
             loading = self.places.awaits_report()
-            yield self._env.timeout(REPORT_LOADING_S if loading else REPORT_IDLE_S)
+            yield self._env.timeout(
+                LOADING_POLL_INTERVAL_S if loading else IDLE_POLL_INTERVAL_S
+            )
 
     def _report(self) -> Generator[Any, Any, None]:
         loaded: dict[AdapterKey, int] = dict(self.engine.version_by_adapter)
@@ -161,17 +163,17 @@
         yield self._env.timeout(self._deployment.report_lag_s)
         if self._stopped:
             return
-        facts = ReportedState(
+        state = ReportedState(
             version_by_model={MODEL: 1},
             version_by_adapter=loaded,
             loading=loading,
             active=active,
             read_at=self._env.now,
         )
-        self._carry_out(self.places.on_report(facts, self._env.now))
+        self._execute(self.places.on_report(state, self._env.now))
 
     def _tick_forever(self) -> Generator[Any, Any, None]:
         while not self._stopped:
             yield self._env.timeout(TICK_S)
             if self.places.queue_length():
-                self._carry_out(self.places.decide(self._env.now))
+                self._execute(self.places.decide(self._env.now))
--- a/bamboovale/emulator/scenario.py
+++ b/bamboovale/emulator/scenario.py
@@ -76,9 +76,9 @@
 
     ``crowd`` multiplies the arrival rate by ``x``. ``slow`` multiplies the step times
     of a ``share`` of the engines by ``x``. ``crash`` stops a ``share`` of the engines,
-    which restart without loaded adapters. ``shift`` moves the popularity ranking by ``x``
-    adapters and is permanent. ``lost_orders`` drops the answers to a ``share`` of the
-    orders.
+    which restart without loaded adapters. ``shift`` moves the popularity ranking by
+    ``x`` adapters and is permanent. ``lost_orders`` drops the answers to a ``share`` of
+    the orders.
     """
 
     kind: str
