--- a/bamboovale/emulator/caller.py
+++ b/bamboovale/emulator/caller.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way, and the entry VM that carries it."""
+"""Emulated callers' requests and the entry VMs that route them."""
 
 from collections import Counter
 from collections.abc import Generator
@@ -14,36 +14,36 @@
 from bamboovale.emulator.owner import MODEL, EmulatedOwner
 from bamboovale.emulator.scenario import RequestKind
 
-MOST_TRIES = 4
-RUN_LEAST_S = 0.4
-GAP_LEAST_S = 2.0
-GAP_GOALS = 4.0
-GAP_PAUSES = 8.0
-"""As entry VMs of the routed interface do."""
+MAX_ATTEMPTS = 4
+MIN_RUN_S = 0.4
+MIN_PATIENCE_S = 2.0
+PATIENCE_GOALS = 4.0
+PATIENCE_PAUSES = 8.0
+"""Same values as in ``bamboovale.gateway.model_calls`` and ``place_search``."""
 
 
 class SimulationView(Protocol):
-    """What a request needs of the play that it belongs to."""
+    """The part of the simulation that a request uses."""
 
     env: simpy.Environment
 
     @property
     def hop_s(self) -> float:
-        """Return the time from one VM to another, one way."""
+        """Return the one-way latency between two VMs."""
 
     def next_number(self) -> int:
-        """Return a number that no other ask has."""
+        """Return a number that is unique within the simulation."""
 
     def owner(self, name: str) -> EmulatedOwner | None:
-        """Return an engine's owner while the engine lives."""
+        """Return the engine's owner, None while the engine is down."""
 
     def live_engines(self) -> set[str]:
-        """Return the engines that live."""
+        """Return the names of the engines that are up."""
 
 
 @dataclass
 class EmulatedEntry:
-    """An entry VM: what it was told, and what it has sent since."""
+    """Entry VM: the last engine statuses and what it has sent to engines since."""
 
     chooser: EngineChooser
     snapshot_by_engine: dict[str, EngineSnapshot] = field(default_factory=dict)
@@ -51,7 +51,7 @@
     loads_by_engine: Counter[str] = field(default_factory=Counter)
 
     def views(self, live: set[str]) -> dict[str, EngineCandidate]:
-        """Return what it believes of the engines that live."""
+        """Return the candidates among the ``live`` engines by name."""
         return {
             name: EngineCandidate(
                 name,
@@ -65,7 +65,7 @@
         }
 
     def on_status(self, name: str, snapshot: EngineSnapshot, *, whole: bool) -> None:
-        """Take an owner's word; only a ``whole`` one tells which adapters are there."""
+        """Apply an engine status; only a ``whole`` one includes the loaded adapters."""
         known = self.snapshot_by_engine.get(name)
         if known is not None and not whole:
             snapshot = replace(snapshot, loaded=known.loaded, coming=known.coming)
@@ -75,19 +75,19 @@
 
 
 class CallerRequest:
-    """One request of a caller on its way."""
+    """One request of a caller, with its attempts at several engines."""
 
     def __init__(
         self,
-        play: SimulationView,
+        simulation: SimulationView,
         outcome: Outcome,
         adapter: str,
         prompt_tokens: int,
         output_tokens: int,
     ) -> None:
         self.retry_after_s = 0.3
-        self._play = play
-        self._env = play.env
+        self._simulation = simulation
+        self._env = simulation.env
         self._outcome = outcome
         self._kind = outcome.kind
         self._key = (MODEL, adapter)
@@ -95,48 +95,52 @@
         self._output_tokens = output_tokens
 
     def run(self, entry: EmulatedEntry) -> Generator[Any, Any, None]:
-        """Try to be served."""
+        """Try engines until one has served the request or all attempts failed."""
         asked_at = self._env.now
-        for _ in range(MOST_TRIES):
-            views = entry.views(self._play.live_engines())
+        for _ in range(MAX_ATTEMPTS):
+            views = entry.views(self._simulation.live_engines())
             tokens = self._prompt_tokens
             name = entry.chooser.choose(self._key, 1, views, prompt_tokens=tokens)
             if name is None:
                 break
             entry.tokens_by_engine[name] += self._prompt_tokens
             entry.loads_by_engine[name] += not views[name].holds(self._key, 1)
-            decision = yield from self._ask(name, asked_at)
+            decision = yield from self._request_place(name, asked_at)
             if isinstance(decision, Refuse):
                 self.retry_after_s = decision.retry_after_s
                 break
             if decision is None:
                 continue
-            taken = yield from self._stream(name, decision)
-            if taken:
+            accepted = yield from self._stream(name, decision)
+            if accepted:
                 return
         self._outcome.refused = self._outcome.first_s is None
 
-    def _ask(
+    def _request_place(
         self,
         name: str,
         asked_at: float,
     ) -> Generator[Any, Any, Grant | Refuse | None]:
-        owner = self._play.owner(name)
+        owner = self._simulation.owner(name)
         if owner is None:
             return None
-        yield self._env.timeout(self._play.hop_s)
+        yield self._env.timeout(self._simulation.hop_s)
         answered = self._env.event()
-        owner.request_place(self._place_ask(asked_at), answered.succeed)
+        owner.request_place(self._queued_request(asked_at), answered.succeed)
         decision = yield answered
-        yield self._env.timeout(self._play.hop_s)
+        yield self._env.timeout(self._simulation.hop_s)
         return decision
 
-    def _place_ask(self, asked_at: float) -> QueuedRequest:
+    def _queued_request(self, asked_at: float) -> QueuedRequest:
         kind = self._kind
-        gap_s = max(GAP_LEAST_S, GAP_GOALS * kind.goal_s, GAP_PAUSES * kind.pause_s)
-        gives_up_at = min(asked_at + gap_s, self._outcome.asked_at + kind.deadline_s)
+        patience_s = max(
+            MIN_PATIENCE_S, PATIENCE_GOALS * kind.goal_s, PATIENCE_PAUSES * kind.pause_s
+        )
+        gives_up_at = min(
+            asked_at + patience_s, self._outcome.asked_at + kind.deadline_s
+        )
         return QueuedRequest(
-            ask_id=f"r{self._play.next_number()}.0",
+            ask_id=f"r{self._simulation.next_number()}.0",
             entry_vm="entry",
             model=MODEL,
             adapter=self._key[1],
@@ -145,16 +149,16 @@
             output_tokens=self._output_tokens,
             rank=0,
             goal_at=self._outcome.asked_at + kind.goal_s,
-            latest_start=gives_up_at - RUN_LEAST_S,
+            latest_start=gives_up_at - MIN_RUN_S,
             pause_s=kind.pause_s,
         )
 
     def _stream(self, name: str, grant: Grant) -> Generator[Any, Any, bool]:
-        """Run at the engine; False if it refused."""
-        owner = self._play.owner(name)
+        """Stream from the engine; return False if it refused the run."""
+        owner = self._simulation.owner(name)
         if owner is None:
             return False
-        yield self._env.timeout(self._play.hop_s)
+        yield self._env.timeout(self._simulation.hop_s)
         ended = self._env.event()
         listener = StreamListener(
             self._outcome, owner, grant.request.ask_id, self._kind
@@ -182,7 +186,7 @@
 
 
 class StreamListener:
-    """Follows the events of one stream for its caller and its engine's owner."""
+    """Records the events of one stream and reports its stalls to the engine's owner."""
 
     def __init__(
         self,
@@ -198,7 +202,7 @@
         self._last_at: float | None = None
 
     def on_event(self, now: float) -> None:
-        """Take one event."""
+        """Record one event."""
         outcome = self._outcome
         if self._last_at is None:
             outcome.first_s = now - outcome.asked_at
--- a/bamboovale/emulator/simulation.py
+++ b/bamboovale/emulator/simulation.py
@@ -1,7 +1,7 @@
-"""One play: entry VMs choose and ask, owners decide, engines run, callers judge.
+"""Discrete-event simulation of entry VMs, engine owners, engines and callers.
 
-The decisions are the real ones, unchanged; only what they act on is a model. Entry VMs
-know the engines by words that are some tenths of a second old, as in operation.
+The decisions are the real ones; the engines, the network and the callers are models.
+As in operation, entry VMs choose engines by engine statuses that may be out of date.
 """
 
 import itertools
@@ -22,12 +22,12 @@
 from bamboovale.emulator.owner import EmulatedOwner
 from bamboovale.emulator.scenario import Fault, RequestKind, Scenario, Tokens
 
-AFTER_S = 20.0
-"""Played on after the last request, so that streams can end."""
+DRAIN_S = 20.0
+"""Simulated time after the last arrival, so that streams can end."""
 
 
 class Simulation:
-    """One play of a scenario with one seed; ``run`` returns what callers got."""
+    """One run of a scenario with one seed."""
 
     def __init__(
         self,
@@ -42,11 +42,11 @@
         self._mechanisms = mechanisms
         self._rng = random.Random(seed)
         self._numbers = itertools.count()
-        self._crowd = 1.0
-        self._shifted = 0
-        self._lost_orders = 0.0
+        self._arrival_factor = 1.0
+        self._popularity_shift = 0
+        self._lost_orders_share = 0.0
         self._store = SharedStore(self._deployment.loads_at_full_speed)
-        self._weights = self._popularity()
+        self._weights = self._cumulative_weights()
         self._engine_by_name: dict[str, EngineModel] = {}
         self._owner_by_name: dict[str, EmulatedOwner] = {}
         self._build_engines()
@@ -56,14 +56,14 @@
         ]
 
     def run(self) -> Result:
-        """Play to the end."""
+        """Run to the end; return the outcomes of all requests."""
         for kind in self._scenario.kinds:
             self.env.process(self._arrivals(kind))
         for fault in self._scenario.faults:
-            self.env.process(self._fault(fault))
+            self.env.process(self._run_fault(fault))
         for number, entry in enumerate(self._entries):
-            self.env.process(self._tell_forever(entry, number))
-        self.env.run(self._scenario.seconds + AFTER_S)
+            self.env.process(self._publish_status_forever(entry, number))
+        self.env.run(self._scenario.seconds + DRAIN_S)
         for engine in self._engine_by_name.values():
             for item in fields(engine.counts):
                 self.result.counts[item.name] += getattr(engine.counts, item.name)
@@ -79,9 +79,9 @@
                 number += 1
                 model = EngineModel(self.env, group.figures, self._store)
                 self._engine_by_name[name] = model
-                self._own(name)
+                self._add_owner(name)
 
-    def _own(self, name: str) -> None:
+    def _add_owner(self, name: str) -> None:
         owner = EmulatedOwner(
             self.env,
             name,
@@ -90,17 +90,17 @@
             self._mechanisms,
             self._rng,
         )
-        owner.lost_orders_share = self._lost_orders
+        owner.lost_orders_share = self._lost_orders_share
         self._owner_by_name[name] = owner
 
-    def _popularity(self) -> list[float]:
+    def _cumulative_weights(self) -> list[float]:
         skew = self._deployment.skew
         weights = ((n + 1) ** -skew for n in range(self._deployment.adapters))
         return list(itertools.accumulate(weights))
 
-    # Words on load.
+    # Engine status.
 
-    def _tell_forever(
+    def _publish_status_forever(
         self,
         entry: EmulatedEntry,
         number: int,
@@ -108,29 +108,29 @@
         interval_s = self._deployment.load_word_s
         yield self.env.timeout(interval_s * number / len(self._entries))
         whole_every = max(1, round(self._deployment.status_s / interval_s))
-        for turn in itertools.count():
-            self._note_held_up()
+        for tick in itertools.count():
+            self._update_pool_stalled()
             for name, owner in self._owner_by_name.items():
                 snapshot = owner.places.snapshot(self.env.now)
-                entry.on_status(name, snapshot, whole=turn % whole_every == 0)
+                entry.on_status(name, snapshot, whole=tick % whole_every == 0)
             entry.chooser.recently_held.update(entry.views(set(self._owner_by_name)))
             yield self.env.timeout(interval_s)
 
-    def _note_held_up(self) -> None:
+    def _update_pool_stalled(self) -> None:
         owners = self._owner_by_name.values()
-        held_up = sum(
+        stalled = sum(
             owner.places.pacing.stall_detector.is_stalled() for owner in owners
         )
-        many = is_pool_stalled(held_up, len(owners))
+        pool_stalled = is_pool_stalled(stalled, len(owners))
         for owner in owners:
-            owner.places.pacing.pool_stalled = many
+            owner.places.pacing.pool_stalled = pool_stalled
 
     # Callers.
 
     def _arrivals(self, kind: RequestKind) -> Generator[Any, Any, None]:
         clump = self._scenario.clump
         while True:
-            per_s = kind.per_s * self._crowd / clump
+            per_s = kind.per_s * self._arrival_factor / clump
             yield self.env.timeout(self._rng.expovariate(per_s))
             if self.env.now >= self._scenario.seconds:
                 return
@@ -138,7 +138,7 @@
                 self.env.process(self._request(kind))
 
     def _clump_size(self) -> int:
-        """Draw how many come together: a geometric number around the mean."""
+        """Draw how many requests arrive together, geometric with mean ``clump``."""
         size = 1
         while self._rng.random() < 1.0 - 1.0 / self._scenario.clump:
             size += 1
@@ -151,13 +151,13 @@
             range(len(self._weights)),
             cum_weights=self._weights,
         )[0]
-        adapter = f"a{(rank + self._shifted) % self._deployment.adapters}"
+        adapter = f"a{(rank + self._popularity_shift) % self._deployment.adapters}"
         prompt = self._draw(kind.prompt) + kind.shared_tokens
         request = CallerRequest(self, outcome, adapter, prompt, self._draw(kind.output))
         yield from request.run(self._rng.choice(self._entries))
         if not outcome.refused:
             return
-        # Refused once, a caller comes back when it was told to.
+        # A refused caller retries once, after the delay that the refusal gave.
         yield self.env.timeout(request.retry_after_s)
         if self.env.now < outcome.asked_at + kind.deadline_s:
             outcome.refused = False
@@ -166,26 +166,26 @@
     def _draw(self, tokens: Tokens) -> int:
         if not tokens.spread:
             return min(tokens.most, round(tokens.mean))
-        middle = math.log(tokens.mean) - tokens.spread**2 / 2
-        drawn = self._rng.lognormvariate(middle, tokens.spread)
+        log_mean = math.log(tokens.mean) - tokens.spread**2 / 2
+        drawn = self._rng.lognormvariate(log_mean, tokens.spread)
         return max(1, min(tokens.most, round(drawn)))
 
     # Faults.
 
-    def _fault(self, fault: Fault) -> Generator[Any, Any, None]:
+    def _run_fault(self, fault: Fault) -> Generator[Any, Any, None]:
         yield self.env.timeout(fault.at)
         names = sorted(self._engine_by_name)
         count = max(1, round(fault.share * len(names)))
         chosen = self._rng.sample(names, count)
-        self._begin(fault, chosen)
+        self._start_fault(fault, chosen)
         yield self.env.timeout(fault.for_s)
-        self._end(fault, chosen)
+        self._end_fault(fault, chosen)
 
-    def _begin(self, fault: Fault, chosen: list[str]) -> None:
+    def _start_fault(self, fault: Fault, chosen: list[str]) -> None:
         if fault.kind == "crowd":
-            self._crowd *= fault.x
+            self._arrival_factor *= fault.x
         elif fault.kind == "shift":
-            self._shifted += round(fault.x)
+            self._popularity_shift += round(fault.x)
         elif fault.kind == "lost_orders":
             self._set_lost_orders(fault.share)
         elif fault.kind == "slow":
@@ -195,9 +195,9 @@
             for name in chosen:
                 self._crash(name)
 
-    def _end(self, fault: Fault, chosen: list[str]) -> None:
+    def _end_fault(self, fault: Fault, chosen: list[str]) -> None:
         if fault.kind == "crowd":
-            self._crowd /= fault.x
+            self._arrival_factor /= fault.x
         elif fault.kind == "lost_orders":
             self._set_lost_orders(0.0)
         elif fault.kind == "slow":
@@ -205,10 +205,10 @@
                 self._engine_by_name[name].slowness /= fault.x
         elif fault.kind == "crash":
             for name in chosen:
-                self._own(name)
+                self._add_owner(name)
 
     def _set_lost_orders(self, share: float) -> None:
-        self._lost_orders = share
+        self._lost_orders_share = share
         for owner in self._owner_by_name.values():
             owner.lost_orders_share = share
 
@@ -223,18 +223,18 @@
         owner.stop()
 
     def next_number(self) -> int:
-        """Return a number that no other ask has."""
+        """Return a number that is unique within the simulation."""
         return next(self._numbers)
 
     def owner(self, name: str) -> EmulatedOwner | None:
-        """Return an engine's owner while the engine lives."""
+        """Return the engine's owner, None while the engine is down."""
         return self._owner_by_name.get(name)
 
     @property
     def hop_s(self) -> float:
-        """Return the time from one VM to another, one way."""
+        """Return the one-way latency between two VMs."""
         return self._deployment.hop_s
 
     def live_engines(self) -> set[str]:
-        """Return the engines that live."""
+        """Return the names of the engines that are up."""
         return set(self._owner_by_name)
