--- a/bamboovale/emulator/experiment.py
+++ b/bamboovale/emulator/experiment.py
@@ -1,4 +1,4 @@
-"""An experiment: one scenario, several policies and seeds, stated expectations."""
+"""Experiments: one scenario, several policies and seeds, and expected figures."""
 
 import csv
 import statistics
@@ -23,7 +23,7 @@
 from bamboovale.emulator.simulation import Simulation
 from bamboovale.plotting import axes_saved_to
 
-SHOWN = (
+TABLE_FIGURES = (
     "worth",
     "in_time",
     "late_by_first",
@@ -34,12 +34,12 @@
     "pause_p95",
     "cold_loads",
 )
-"""Figures of the printed table; the CSV has all."""
+"""Figures of the printed table; the CSV file has all."""
 
 
 @dataclass(frozen=True)
 class Policy:
-    """Mechanisms left out, under a name."""
+    """A named selection of mechanisms: all but those in ``without``."""
 
     name: str
     without: tuple[str, ...] = ()
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class Expectation:
-    """What a figure's mean over the seeds must keep to."""
+    """Bounds, both inclusive, on the mean over the seeds of a policy's figure."""
 
     policy: str
     figure: str
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True)
 class Experiment:
-    """What is played and expected."""
+    """A scenario that is simulated for each policy and seed, with expectations."""
 
     scenario: Scenario
     seeds: tuple[int, ...] = (1, 2, 3, 4)
@@ -66,7 +66,7 @@
 
     @classmethod
     def from_file(cls, path: Path) -> "Experiment":
-        """Read an experiment; raises BadExperimentError with every finding."""
+        """Read an experiment; raise BadExperimentError with all findings."""
         try:
             document = tomllib.loads(path.read_text())
         except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
@@ -81,27 +81,27 @@
         return experiment
 
     def findings(self) -> Iterable[str]:
-        """Return what is wrong beyond the types, each with its place."""
+        """Yield semantic errors, each with the path of the wrong key."""
         names = {policy.name for policy in self.policies}
         mechanisms = {mechanism.value for mechanism in Mechanism}
         for number, policy in enumerate(self.policies):
             for name in set(policy.without) - mechanisms:
-                yield f"policies[{number}].without: {name} is no mechanism"
+                yield f"policies[{number}].without: unknown mechanism {name}"
         for number, fault in enumerate(self.scenario.faults):
             if fault.kind not in FAULT_KINDS:
-                yield f"scenario.faults[{number}].kind: {fault.kind} is none"
-        for number, expectation in enumerate(self.expectations):
-            if expectation.policy not in names:
-                yield f"expectations[{number}].policy: {expectation.policy} is none"
-            if expectation.figure not in Result().figures():
-                yield f"expectations[{number}].figure: {expectation.figure} is none"
+                yield f"scenario.faults[{number}].kind: unknown fault {fault.kind}"
+        for number, expected in enumerate(self.expectations):
+            if expected.policy not in names:
+                yield f"expectations[{number}].policy: unknown policy {expected.policy}"
+            if expected.figure not in Result().figures():
+                yield f"expectations[{number}].figure: unknown figure {expected.figure}"
         if not self.scenario.kinds or not self.scenario.deployment.engines:
-            yield "scenario: no kinds of requests, or no engines"
+            yield "scenario: kinds or deployment.engines is empty"
         if not self.seeds:
-            yield "seeds: none"
+            yield "seeds: empty"
 
 
-for _wanted in (
+for _record_type in (
     Tokens,
     EngineFigures,
     EngineGroup,
@@ -113,11 +113,11 @@
     Expectation,
     Experiment,
 ):
-    refuse_unknown(_wanted)
+    refuse_unknown(_record_type)
 
 
 class BadExperimentError(ValueError):
-    """A file that is no experiment; ``findings`` name each mistake with its place."""
+    """Invalid experiment file; ``findings`` has one message for each error."""
 
     def __init__(self, findings: Sequence[str]) -> None:
         super().__init__("; ".join(findings))
@@ -126,7 +126,7 @@
 
 @dataclass
 class Row:
-    """One play: its policy, seed and figures."""
+    """Figures of one simulation, with its policy and seed."""
 
     policy: str
     seed: int
@@ -136,13 +136,13 @@
 
 def run_experiment(
     experiment: Experiment,
-    on_played: Callable[[], None] = lambda: None,
+    on_simulated: Callable[[], None] = lambda: None,
     share: tuple[int, int] = (1, 1),
 ) -> list[Row]:
-    """Play all policies with all seeds, or every n-th play of them.
+    """Simulate all policies with all seeds, or one share of these simulations.
 
-    ``share`` (2, 4) is the second of four parts: processes that are started side by
-    side each take one.
+    ``share`` (2, 4) selects the second of four shares, so that four processes can run
+    one each. ``on_simulated`` is called after each simulation.
     """
     part, parts = share
     rows = []
@@ -154,16 +154,18 @@
         result = Simulation(experiment.scenario, seed, mechanisms).run()
         by_second = result.in_time_by_second()
         rows.append(Row(policy.name, seed, result.figures(), by_second))
-        on_played()
+        on_simulated()
     return rows
 
 
 def table(rows: Sequence[Row]) -> str:
-    """Return means over the seeds, with the spread of the worth, as text."""
-    lines = ["policy                seeds " + " ".join(f"{n:>13}" for n in SHOWN)]
+    """Format the means over the seeds; ``+-`` is the deviation of ``worth``."""
+    lines = [
+        "policy                seeds " + " ".join(f"{n:>13}" for n in TABLE_FIGURES)
+    ]
     for name in dict.fromkeys(row.policy for row in rows):
         group = [row.figures for row in rows if row.policy == name]
-        cells = [f"{_mean(group, figure):13.3f}" for figure in SHOWN]
+        cells = [f"{_mean(group, figure):13.3f}" for figure in TABLE_FIGURES]
         worths = [figures["worth"] for figures in group]
         spread = statistics.stdev(worths) if len(worths) > 1 else 0.0
         lines.append(f"{name:<21} {len(group):5} {' '.join(cells)}  +-{spread:.3f}")
@@ -178,23 +180,23 @@
     experiment: Experiment,
     rows: Sequence[Row],
 ) -> list[str]:
-    """Return each expectation that the means do not keep to."""
+    """Return a message for each bound that a mean violates."""
     broken = []
-    for wanted in experiment.expectations:
-        group = [row.figures for row in rows if row.policy == wanted.policy]
+    for expected in experiment.expectations:
+        group = [row.figures for row in rows if row.policy == expected.policy]
         if not group:
             continue
-        mean = _mean(group, wanted.figure)
-        what = f"{wanted.policy}: {wanted.figure} is {mean:.3f}"
-        if wanted.least is not None and mean < wanted.least:
-            broken.append(f"{what}, expected at least {wanted.least}")
-        if wanted.most is not None and mean > wanted.most:
-            broken.append(f"{what}, expected at most {wanted.most}")
+        mean = _mean(group, expected.figure)
+        measured = f"{expected.policy}: {expected.figure} is {mean:.3f}"
+        if expected.least is not None and mean < expected.least:
+            broken.append(f"{measured}, expected at least {expected.least}")
+        if expected.most is not None and mean > expected.most:
+            broken.append(f"{measured}, expected at most {expected.most}")
     return broken
 
 
 def write_csv(rows: Sequence[Row], path: Path) -> None:
-    """Write one line for each play."""
+    """Write one line for each simulation."""
     with path.open("w", newline="") as file:
         writer = csv.writer(file)
         names = list(rows[0].figures) if rows else []
@@ -205,10 +207,10 @@
 
 
 def draw(rows: Sequence[Row], path: Path) -> None:
-    """Draw the share in time by second for each policy; needs matplotlib."""
+    """Plot the share in time over time for each policy; needs matplotlib."""
     with axes_saved_to(
         path,
-        x_label="second of the play",
+        x_label="simulated time in s",
         y_label="share in time",
     ) as axes:
         for name in dict.fromkeys(row.policy for row in rows):
