--- a/bamboovale/emulator/engine.py
+++ b/bamboovale/emulator/engine.py
@@ -248,7 +248,7 @@
         self.env.process(self._load(adapter, version))
 
     def unload(self, adapter: AdapterKey) -> None:
-        """Unload an adapter."""
+        """Unload an adapter, which no request may use."""
         self.version_by_adapter.pop(adapter, None)
 
     def _load(self, adapter: AdapterKey, version: int) -> Generator[Any, Any, None]:
