--- a/bamboovale/gateway/endpoint_client.py
+++ b/bamboovale/gateway/endpoint_client.py
@@ -8,7 +8,7 @@
 
 from bamboovale.gateway.call import CallCodec
 from bamboovale.gateway.model import AnswerFacts, EndpointRecord
-from bamboovale.http1.connection import AnswerBroken, ConnectFailed, Connection
+from bamboovale.http1.connection import ConnectFailed, Connection, IncompleteResponse
 from bamboovale.http1.pool import ConnectionPool
 
 MAX_STALE_ANSWERS = 2
@@ -61,7 +61,7 @@
                 size += len(data)
                 if size > MAX_BUFFERED_BYTES:
                     raise MayHaveRun("the answer exceeds the size limit")
-        except AnswerBroken as error:
+        except IncompleteResponse as error:
             raise MayHaveRun(f"answer cut: {error}") from error
         return b"".join(parts)
 
@@ -105,7 +105,7 @@
         connection.send(request, body)
         try:
             facts = await self._own_head(connection, request_id)
-        except AnswerBroken as error:
+        except IncompleteResponse as error:
             raise MayHaveRun(f"no answer: {error}") from error
         attempt = EndpointAnswer(connection, facts)
         if facts.not_run:
@@ -141,4 +141,4 @@
                 pass
             if not connection.skip_answer():
                 break
-        raise AnswerBroken("only answers to other requests were received")
+        raise IncompleteResponse("only answers to other requests were received")
--- a/bamboovale/gateway/engine_client.py
+++ b/bamboovale/gateway/engine_client.py
@@ -14,7 +14,7 @@
     EngineReport,
     OrderOutcome,
 )
-from bamboovale.http1.connection import AnswerBroken, ConnectFailed
+from bamboovale.http1.connection import ConnectFailed, IncompleteResponse
 from bamboovale.http1.pool import ConnectionPool
 
 REPORT_TIMEOUT_S = 1.0
@@ -134,7 +134,7 @@
                 parts = []
                 while (data := await connection.data()) is not None:
                     parts.append(data)
-        except (TimeoutError, ConnectFailed, AnswerBroken, OSError) as error:
+        except (TimeoutError, ConnectFailed, IncompleteResponse, OSError) as error:
             if connection is not None:
                 connection.close()
             raise EngineCallFailed(
--- a/bamboovale/gateway/model_calls.py
+++ b/bamboovale/gateway/model_calls.py
@@ -17,7 +17,7 @@
 from bamboovale.gateway.model import EndpointRecord, ModelWork
 from bamboovale.gateway.place_search import PlaceSearch
 from bamboovale.gateway.stream_progress import Progress, StreamCut
-from bamboovale.http1.connection import AnswerBroken
+from bamboovale.http1.connection import IncompleteResponse
 
 MAX_ATTEMPTS = 4
 """Engines that are tried for one request before it is refused."""
@@ -206,7 +206,7 @@
                     self._engines.notify_paused(place, pause_s)
                 self._start_answer(call, attempt, progress)
                 await call.responder.write(b"".join(event.data for event in events))
-        except (AnswerBroken, EventsBroken) as error:
+        except (IncompleteResponse, EventsBroken) as error:
             raise StreamCut(f"stream cut: {error}") from error
         if progress.events.has_partial:
             raise StreamCut("the stream ended within an event")
--- a/bamboovale/http1/connection.py
+++ b/bamboovale/http1/connection.py
@@ -27,7 +27,7 @@
     """The connection could not be opened: nothing was sent."""
 
 
-class AnswerBroken(Exception):  # noqa: N818 - reads as what happened
+class IncompleteResponse(Exception):  # noqa: N818 - reads as what happened
     """The connection ended, or sent no HTTP, before the answer was complete."""
 
 
@@ -125,25 +125,25 @@
         self._transport.write(data)
 
     async def head(self) -> AnswerHead:
-        """Return the final head of the answer; raises AnswerBroken."""
+        """Return the final head of the answer; raises IncompleteResponse."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
-                raise AnswerBroken("no head")
+                raise IncompleteResponse("no head")
             self._note_keep_alive(event)
             return AnswerHead(event.status_code, list(event.headers))
 
     async def data(self) -> bytes | None:
-        """Return the next bytes of the body, None at its end; raises AnswerBroken."""
+        """Return the next bytes of the body, None at its end; raises IncompleteResponse."""
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             self._finish()
             return None
-        raise AnswerBroken("no body")
+        raise IncompleteResponse("no body")
 
     def skip_answer(self) -> bool:
         """Go on to the next answer on this connection after one of another request.
@@ -187,17 +187,17 @@
                 event = self._wire.next_event()
             except h11.RemoteProtocolError as error:
                 self.close()
-                raise AnswerBroken(str(error)) from error
+                raise IncompleteResponse(str(error)) from error
             if event is h11.NEED_DATA:
                 if self.closed:
-                    raise AnswerBroken("reset" if self._reset else "ended")
+                    raise IncompleteResponse("reset" if self._reset else "ended")
                 self._buffered = 0
                 self._transport.resume_reading()
                 self._wake = asyncio.get_running_loop().create_future()
                 await self._wake
                 continue
             if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
-                raise AnswerBroken("ended")
+                raise IncompleteResponse("ended")
             return event
 
     def _note_keep_alive(self, head: h11.Response) -> None:
--- a/bamboovale/platform/store.py
+++ b/bamboovale/platform/store.py
@@ -18,7 +18,7 @@
     Snapshot,
     StoreError,
 )
-from bamboovale.http1.connection import AnswerBroken, ConnectFailed, Headers
+from bamboovale.http1.connection import ConnectFailed, Headers, IncompleteResponse
 from bamboovale.http1.pool import ConnectionPool
 
 CALL_TIMEOUT_S = 1.5
@@ -155,7 +155,7 @@
             # Idle connections may be silent too, and each would cost a timeout.
             self._pool.forget(STORE_ID)
             raise NoAnswerError(f"{target}: no answer in time") from error
-        except (ConnectFailed, AnswerBroken, OSError) as error:
+        except (ConnectFailed, IncompleteResponse, OSError) as error:
             raise StoreError(f"{target}: {error}") from error
         if status == 410:
             raise HistoryLostError(f"{target}: offset is no longer stored", status)
--- a/bench/routed.py
+++ b/bench/routed.py
@@ -8,7 +8,7 @@
 
 import h11
 
-from bamboovale.http1.connection import AnswerBroken, AnswerHead, Connection
+from bamboovale.http1.connection import AnswerHead, Connection, IncompleteResponse
 
 HOST = "shop.example"
 MODEL = "base"
@@ -158,6 +158,6 @@
         head = await connection.head()
         while (data := await connection.data()) is not None:
             received += data
-    except AnswerBroken:
+    except IncompleteResponse:
         return CallerAnswer(head.status if head else 0, head, received, whole=False)
     return CallerAnswer(head.status, head, received, whole=True)
--- a/bench/soak_callers.py
+++ b/bench/soak_callers.py
@@ -9,7 +9,7 @@
 
 import h11
 
-from bamboovale.http1.connection import AnswerBroken, ConnectFailed, Connection
+from bamboovale.http1.connection import ConnectFailed, Connection, IncompleteResponse
 from bench.routed import HOST, MODEL, CallerAnswer, read_answer
 from bench.soak_site import VMProcess
 
@@ -110,7 +110,7 @@
             async with asyncio.timeout(PATIENCE_S + 1.0):
                 connection.send(*_request(kind, request_id, adapter))
                 answer = await read_answer(connection)
-        except (TimeoutError, AnswerBroken, OSError):
+        except (TimeoutError, IncompleteResponse, OSError):
             connection.close()
         return Attempt(
             request_id=request_id,
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -9,7 +9,7 @@
 import h11
 import pytest
 
-from bamboovale.http1.connection import AnswerBroken, ConnectFailed, Connection
+from bamboovale.http1.connection import ConnectFailed, Connection, IncompleteResponse
 from bamboovale.http1.pool import ConnectionPool
 from bamboovale.http1.server import Request, Responder, Server, ServerLimits
 from tests.gateway_site import eventually, free_port, run
@@ -246,7 +246,7 @@
 
             async with endpoint(script) as address:
                 connection = await Connection.open(*address)
-                with pytest.raises(AnswerBroken):
+                with pytest.raises(IncompleteResponse):
                     await ask(connection)
 
         run(test())
@@ -272,7 +272,7 @@
 
             async with endpoint(script) as address:
                 connection = await Connection.open(*address)
-                with pytest.raises(AnswerBroken):
+                with pytest.raises(IncompleteResponse):
                     await ask(connection)
 
         run(test())
