--- a/bamboovale/gateway/call.py
+++ b/bamboovale/gateway/call.py
@@ -6,7 +6,7 @@
 import h11
 
 from bamboovale.gateway.model import AnswerFacts, CallFacts, Route
-from bamboovale.http1.connection import AnswerHead, Headers
+from bamboovale.http1.connection import Headers, ResponseHead
 from bamboovale.http1.server import Request, Responder
 
 
@@ -29,7 +29,7 @@
     ) -> h11.Request:
         """Return the request for an endpoint."""
 
-    def decode_answer(self, head: AnswerHead) -> AnswerFacts:
+    def decode_answer(self, head: ResponseHead) -> AnswerFacts:
         """Read the head of an answer."""
 
     def encode_refusal(
--- a/bamboovale/http1/connection.py
+++ b/bamboovale/http1/connection.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class AnswerHead:
+class ResponseHead:
     """Status and headers of an answer; header names are lower case."""
 
     status: int
@@ -124,7 +124,7 @@
         data += self._wire.send(h11.EndOfMessage())
         self._transport.write(data)
 
-    async def head(self) -> AnswerHead:
+    async def head(self) -> ResponseHead:
         """Return the final head of the answer; raises IncompleteResponse."""
         while True:
             event = await self._next_event()
@@ -133,7 +133,7 @@
             if not isinstance(event, h11.Response):
                 raise IncompleteResponse("no head")
             self._note_keep_alive(event)
-            return AnswerHead(event.status_code, list(event.headers))
+            return ResponseHead(event.status_code, list(event.headers))
 
     async def data(self) -> bytes | None:
         """Return the next bytes of the body, None at its end; raises IncompleteResponse."""
--- a/bamboovale/platform/requests.py
+++ b/bamboovale/platform/requests.py
@@ -3,7 +3,7 @@
 import h11
 
 from bamboovale.gateway.model import AnswerFacts, CallFacts, ModelWork
-from bamboovale.http1.connection import AnswerHead, Headers
+from bamboovale.http1.connection import Headers, ResponseHead
 from bamboovale.http1.server import BadRequest, Request
 from bamboovale.platform import names
 
@@ -117,7 +117,7 @@
     )
 
 
-def decode_answer(head: AnswerHead) -> AnswerFacts:
+def decode_answer(head: ResponseHead) -> AnswerFacts:
     """Decode the head of an endpoint's answer."""
     request_id = head.get(names.REQUEST_ID)
     headers = [pair for pair in head.headers if pair[0] not in names.HOP_BY_HOP]
--- a/bamboovale/platform/translation.py
+++ b/bamboovale/platform/translation.py
@@ -14,7 +14,7 @@
     RoutingTable,
 )
 from bamboovale.gateway.store import MetadataStore
-from bamboovale.http1.connection import AnswerHead, Headers
+from bamboovale.http1.connection import Headers, ResponseHead
 from bamboovale.http1.pool import ConnectionPool
 from bamboovale.http1.server import Request
 from bamboovale.platform import directory, endpoints, names, requests
@@ -101,7 +101,7 @@
             resume_after=resume_after,
         )
 
-    def decode_answer(self, head: AnswerHead) -> AnswerFacts:
+    def decode_answer(self, head: ResponseHead) -> AnswerFacts:
         """Decode the head of an endpoint's answer."""
         return requests.decode_answer(head)
 
--- a/bench/routed.py
+++ b/bench/routed.py
@@ -8,7 +8,7 @@
 
 import h11
 
-from bamboovale.http1.connection import AnswerHead, Connection, IncompleteResponse
+from bamboovale.http1.connection import Connection, IncompleteResponse, ResponseHead
 
 HOST = "shop.example"
 MODEL = "base"
@@ -103,7 +103,7 @@
     """What a caller got; ``whole`` is False if the answer broke off."""
 
     status: int
-    head: AnswerHead | None
+    head: ResponseHead | None
     body: bytes
     whole: bool
 
