--- a/bamboovale/gateway/endpoint_client.py
+++ b/bamboovale/gateway/endpoint_client.py
@@ -139,6 +139,6 @@
                 return facts
             while await connection.data() is not None:
                 pass
-            if not connection.skip_answer():
+            if not connection.skip_response():
                 break
         raise IncompleteResponse("only answers to other requests were received")
--- a/bamboovale/http1/connection.py
+++ b/bamboovale/http1/connection.py
@@ -145,7 +145,7 @@
             return None
         raise IncompleteResponse("no body")
 
-    def skip_answer(self) -> bool:
+    def skip_response(self) -> bool:
         """Go on to the next answer on this connection after one of another request.
 
         Guards against an endpoint that answers an earlier request twice: the stray
