--- a/bamboovale/http1/connection.py
+++ b/bamboovale/http1/connection.py
@@ -86,7 +86,7 @@
     def connection_made(self, transport: Any) -> None:
         """Bound how long a silent or partitioned peer holds the connection."""
         self._transport = transport
-        watch_for_silence(transport.get_extra_info("socket"))
+        enable_dead_peer_detection(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
         """Take bytes; bytes that no request asked for end the connection."""
@@ -217,7 +217,7 @@
             self.reusable = True
 
 
-def watch_for_silence(sock: Any) -> None:
+def enable_dead_peer_detection(sock: Any) -> None:
     """Let the kernel find a peer that went silent without a reset."""
     if sock is None or not hasattr(sock, "setsockopt"):
         return
--- a/bamboovale/http1/server.py
+++ b/bamboovale/http1/server.py
@@ -9,7 +9,7 @@
 
 import h11
 
-from bamboovale.http1.connection import Headers, watch_for_silence
+from bamboovale.http1.connection import Headers, enable_dead_peer_detection
 
 logger = logging.getLogger(__name__)
 
@@ -133,7 +133,7 @@
     def connection_made(self, transport: Any) -> None:
         """Begin to serve."""
         self._transport = transport
-        watch_for_silence(transport.get_extra_info("socket"))
+        enable_dead_peer_detection(transport.get_extra_info("socket"))
         self._server.connections.add(self)
         self._task = asyncio.get_running_loop().create_task(self._serve())
 
