--- a/bamboovale/http1/connection.py
+++ b/bamboovale/http1/connection.py
@@ -136,7 +136,7 @@
             return ResponseHead(event.status_code, list(event.headers))
 
     async def data(self) -> bytes | None:
-        """Return the next bytes of the body, None at its end; raises IncompleteResponse."""
+        """Return the next body bytes, None at its end; raises IncompleteResponse."""
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
