--- a/bamboovale/cli/main.py
+++ b/bamboovale/cli/main.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True)
-class CommandPlace:
+class CommandLocation:
     """Where a command is: a function, or the application of a group, in a module."""
 
     module: str
@@ -31,16 +31,18 @@
         return typer.main.get_command(single)
 
 
-PLACE_BY_COMMAND = {
-    "entry": CommandPlace("bamboovale.cli.entry", "entry"),
-    "gateway": CommandPlace("bamboovale.cli.gateway", "gateway"),
-    "report": CommandPlace("bamboovale.cli.report", "report"),
-    "check-settings": CommandPlace("bamboovale.cli.entry", "check_settings"),
-    "state": CommandPlace("bamboovale.cli.entry", "state"),
-    "settings-table": CommandPlace("bamboovale.cli.settings_table", "settings_table"),
-    "experiment": CommandPlace("bamboovale.cli.experiment", "experiment"),
-    "standin": CommandPlace("bamboovale.cli.standin", "app"),
-    "catalogue": CommandPlace("bamboovale.cli.catalogue", "app"),
+LOCATION_BY_COMMAND = {
+    "entry": CommandLocation("bamboovale.cli.entry", "entry"),
+    "gateway": CommandLocation("bamboovale.cli.gateway", "gateway"),
+    "report": CommandLocation("bamboovale.cli.report", "report"),
+    "check-settings": CommandLocation("bamboovale.cli.entry", "check_settings"),
+    "state": CommandLocation("bamboovale.cli.entry", "state"),
+    "settings-table": CommandLocation(
+        "bamboovale.cli.settings_table", "settings_table"
+    ),
+    "experiment": CommandLocation("bamboovale.cli.experiment", "experiment"),
+    "standin": CommandLocation("bamboovale.cli.standin", "app"),
+    "catalogue": CommandLocation("bamboovale.cli.catalogue", "app"),
 }
 
 
@@ -49,11 +51,11 @@
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """Return all names, in the order of the help."""
-        return [*super().list_commands(ctx), *PLACE_BY_COMMAND]
+        return [*super().list_commands(ctx), *LOCATION_BY_COMMAND]
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
         """Return one command, None if there is no such."""
-        place = PLACE_BY_COMMAND.get(cmd_name)
+        place = LOCATION_BY_COMMAND.get(cmd_name)
         if place is None:
             return super().get_command(ctx, cmd_name)
         command = place.load()
