--- a/bamboovale/http1/pool.py
+++ b/bamboovale/http1/pool.py
@@ -7,11 +7,11 @@
 
 from bamboovale.http1.connection import Connection
 
-DEFAULT_KEEP_ALIVE_S = 4.0
+KEEP_ALIVE_S = 4.0
 """Used when the endpoint names no time; it closes idle connections by its own."""
 KEEP_ALIVE_MARGIN_S = 1.0
 """Sent so close to the endpoint's own limit, a request may cross its close."""
-MAX_FRESH_IDLE_S = 2.5
+FRESH_IDLE_S = 2.5
 """A request that must not run twice uses only a connection idle for less than this: a
 connection that an endpoint dropped silently is found out only by the next request, and
 then nobody knows whether it ran."""
@@ -49,9 +49,7 @@
     ) -> Connection:
         """Return an idle connection or a new one; raises ConnectFailed."""
         pool = self._pool_by_id.setdefault(endpoint_id, EndpointPool())
-        idle = self._take_idle(
-            pool, MAX_FRESH_IDLE_S if fresh_only else DEFAULT_KEEP_ALIVE_S * 10
-        )
+        idle = self._take_idle(pool, FRESH_IDLE_S if fresh_only else KEEP_ALIVE_S * 10)
         if idle is not None:
             return idle
         self._on_opened()
@@ -83,9 +81,7 @@
     def sweep(self) -> None:
         """Close what has been idle for too long."""
         for pool in self._pool_by_id.values():
-            while pool.idle and not self._usable(
-                pool.idle[-1], DEFAULT_KEEP_ALIVE_S * 10
-            ):
+            while pool.idle and not self._usable(pool.idle[-1], KEEP_ALIVE_S * 10):
                 pool.idle.pop().close()
 
     def idle_count(self) -> int:
@@ -95,9 +91,7 @@
     def _take_idle(self, pool: EndpointPool, most_s: float) -> Connection | None:
         while pool.idle:
             connection = pool.idle[0]
-            if connection.closed or not self._usable(
-                connection, DEFAULT_KEEP_ALIVE_S * 10
-            ):
+            if connection.closed or not self._usable(connection, KEEP_ALIVE_S * 10):
                 pool.idle.popleft()
                 connection.close()
                 continue
@@ -108,9 +102,7 @@
 
     def _usable(self, connection: Connection, most_s: float) -> bool:
         named_s = connection.keep_alive_s
-        limit_s = (
-            DEFAULT_KEEP_ALIVE_S if named_s is None else named_s - KEEP_ALIVE_MARGIN_S
-        )
+        limit_s = KEEP_ALIVE_S if named_s is None else named_s - KEEP_ALIVE_MARGIN_S
         idle_s = self._now() - connection.idle_since
         return not connection.closed and idle_s < min(limit_s, most_s)
 
--- a/bamboovale/report/lines.py
+++ b/bamboovale/report/lines.py
@@ -12,7 +12,7 @@
 
     ``place_s`` was spent waiting for places at engines, ``paced_s`` of it only because
     of the pauses of other streams; ``first_s`` is None if no event came, or for a plain
-    call. ``pause_s`` is the longest pause between events. ``asked_at`` is the time of
+    call. ``pause_s`` is the longest pause between events. ``requested_at`` is the time of
     day, None in lines that do not tell it.
     """
 
@@ -29,7 +29,7 @@
     pause_s: float = 0.0
     pause_allowed_s: float | None = None
     paced_s: float = 0.0
-    asked_at: float | None = None
+    requested_at: float | None = None
 
     @property
     def is_late_by_first(self) -> bool:
@@ -114,7 +114,7 @@
         pause_s=float(document.get("pause_s") or 0.0),
         pause_allowed_s=_seconds(document.get("pause_allowed_s")),
         paced_s=sum(float(ask.get("paced_s", 0.0)) for ask in asks),
-        asked_at=None if ended_at is None else ended_at - total_s,
+        requested_at=None if ended_at is None else ended_at - total_s,
     )
 
 
--- a/bamboovale/report/seconds.py
+++ b/bamboovale/report/seconds.py
@@ -32,10 +32,10 @@
 
 def steps_of(requests: Sequence[RequestLine]) -> list[Step]:
     """Return the steps of a log, also those without a request in between."""
-    streams = [r for r in requests if r.kind == "stream" and r.asked_at is not None]
+    streams = [r for r in requests if r.kind == "stream" and r.requested_at is not None]
     if not streams:
         return []
-    asked = [r.asked_at or 0.0 for r in streams]
+    asked = [r.requested_at or 0.0 for r in streams]
     first = min(asked)
     step_s = STEP_S * max(1, math.ceil((max(asked) - first) / STEP_S / MOST_STEPS))
     groups: list[list[RequestLine]] = [
