--- a/bamboovale/cli/report.py
+++ b/bamboovale/cli/report.py
@@ -27,8 +27,8 @@
     """Print outcomes, waits, reasons and how full engines were."""
     # Imported late: the other commands start without it.
     from bamboovale.report.lines import read_lines
-    from bamboovale.report.seconds import draw
     from bamboovale.report.tables import render
+    from bamboovale.report.timeline import draw
 
     try:
         lines = read_lines(_texts(files or []))
--- a/bamboovale/report/tables.py
+++ b/bamboovale/report/tables.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Sequence
 
 from bamboovale.report.lines import EngineLine, Lines, RequestLine
-from bamboovale.report.seconds import steps_of
+from bamboovale.report.timeline import steps_of
 
 MOST_REASONS = 10
 BAR_CELLS = 20
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -8,8 +8,8 @@
 
 from bamboovale.cli.main import app
 from bamboovale.report.lines import read_lines
-from bamboovale.report.seconds import Step, steps_of
 from bamboovale.report.tables import render
+from bamboovale.report.timeline import Step, steps_of
 
 
 def request(**fields: object) -> str:
