--- a/bamboovale/report/tables.py
+++ b/bamboovale/report/tables.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Sequence
 
 from bamboovale.report.lines import EngineLine, Lines, RequestLine
-from bamboovale.report.timeline import steps_of
+from bamboovale.report.timeline import time_steps
 
 MOST_REASONS = 10
 BAR_CELLS = 20
@@ -88,7 +88,7 @@
 
 def _by_second(requests: Sequence[RequestLine]) -> str:
     """Return how streams fared by the second in which they were asked for."""
-    steps = steps_of(requests)
+    steps = time_steps(requests)
     if not steps:
         return ""
     rows = [["second", "streams", "in time", "late first", "long pause", "unserved"]]
@@ -97,7 +97,7 @@
         late = (step.late_first, step.long_pause)
         counts = (step.streams, step.in_time, *late, step.unserved)
         bar = _bar(step.in_time / max(1, step.streams))
-        rows.append([f"{step.begins_s:g}", *map(str, counts), bar])
+        rows.append([f"{step.start_s:g}", *map(str, counts), bar])
     return _table(rows)
 
 
--- a/bamboovale/report/timeline.py
+++ b/bamboovale/report/timeline.py
@@ -16,13 +16,13 @@
 
 
 @dataclass(frozen=True)
-class Step:
-    """Streams asked for from ``begins_s`` on, in seconds since the first request.
+class TimeStep:
+    """Streams asked for from ``start_s`` on, in seconds since the first request.
 
     ``late_first`` and ``long_pause`` count served streams; one may be both.
     """
 
-    begins_s: float
+    start_s: float
     streams: int
     in_time: int
     late_first: int
@@ -30,7 +30,7 @@
     unserved: int
 
 
-def steps_of(requests: Sequence[RequestLine]) -> list[Step]:
+def time_steps(requests: Sequence[RequestLine]) -> list[TimeStep]:
     """Return the steps of a log, also those without a request in between."""
     streams = [r for r in requests if r.kind == "stream" and r.requested_at is not None]
     if not streams:
@@ -46,11 +46,11 @@
     return [_step(step_s * number, group) for number, group in enumerate(groups)]
 
 
-def _step(begins_s: float, group: Sequence[RequestLine]) -> Step:
+def _step(start_s: float, group: Sequence[RequestLine]) -> TimeStep:
     served = [r for r in group if r.outcome == "answered"]
     late = sum(r.is_late_by_first or r.is_late_by_pause for r in served)
-    return Step(
-        begins_s=begins_s,
+    return TimeStep(
+        start_s=start_s,
         streams=len(group),
         in_time=len(served) - late,
         late_first=sum(r.is_late_by_first for r in served),
@@ -61,8 +61,8 @@
 
 def draw(requests: Sequence[RequestLine], path: Path) -> None:
     """Draw the streams by second and what made them late; needs matplotlib."""
-    steps = steps_of(requests)
-    seconds = [step.begins_s for step in steps]
+    steps = time_steps(requests)
+    seconds = [step.start_s for step in steps]
     curves = {
         "asked for": [step.streams for step in steps],
         "in time": [step.in_time for step in steps],
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -9,7 +9,7 @@
 from bamboovale.cli.main import app
 from bamboovale.report.lines import read_lines
 from bamboovale.report.tables import render
-from bamboovale.report.timeline import Step, steps_of
+from bamboovale.report.timeline import TimeStep, time_steps
 
 
 def request(**fields: object) -> str:
@@ -74,22 +74,22 @@
         """A user asks what happened at six seconds past; each VM's clock differs."""
         texts = self.lines()
         texts[1] = texts[1].replace('"at": 12.5', '"at": 90000.0')
-        steps = steps_of(read_lines(texts).requests)
+        steps = time_steps(read_lines(texts).requests)
         assert steps == [
-            Step(0.0, 2, 1, 0, 1, 0),
-            Step(2.0, 0, 0, 0, 0, 0),
-            Step(4.0, 0, 0, 0, 0, 0),
-            Step(6.0, 2, 0, 1, 0, 1),
+            TimeStep(0.0, 2, 1, 0, 1, 0),
+            TimeStep(2.0, 0, 0, 0, 0, 0),
+            TimeStep(4.0, 0, 0, 0, 0, 0),
+            TimeStep(6.0, 2, 0, 1, 0, 1),
         ]
 
     def test_a_long_log_gets_longer_steps(self) -> None:
         texts = [request(time=1000.0 + 60.0 * minute) for minute in range(61)]
-        steps = steps_of(read_lines(texts).requests)
+        steps = time_steps(read_lines(texts).requests)
         assert len(steps) <= 41
         assert sum(step.streams for step in steps) == 61
 
     def test_lines_without_time_of_day_have_no_seconds(self) -> None:
-        assert steps_of(read_lines([request()]).requests) == []
+        assert time_steps(read_lines([request()]).requests) == []
 
     def test_the_picture_is_drawn(self, tmp_path: Path) -> None:
         log, picture = tmp_path / "log", tmp_path / "streams.png"
