--- a/bamboovale/actors.py
+++ b/bamboovale/actors.py
@@ -107,7 +107,7 @@
         logger.debug("dropped %s for a stopped actor", type(message).__name__)
 
 
-def hand_over(actor: pykka.ActorRef, message: Any) -> None:
+def tell_and_wait(actor: pykka.ActorRef, message: Any) -> None:
     """Send a message and wait until it was handled; a stopped actor ends the wait.
 
     For a sender that is quicker than the actor: its messages would pile up.
--- a/bamboovale/entry/vm.py
+++ b/bamboovale/entry/vm.py
@@ -6,7 +6,7 @@
 
 import pykka
 
-from bamboovale.actors import TICK_S, Ticker, hand_over, tell
+from bamboovale.actors import TICK_S, Ticker, tell, tell_and_wait
 from bamboovale.admin.app import AdministrationApp
 from bamboovale.catalogue.actor import (
     CATALOGUE_STREAM,
@@ -297,7 +297,7 @@
 
         self._catalogue_follower = follow(
             CATALOGUE_STREAM,
-            lambda batch, _: hand_over(self._catalogue, CatalogueBatchRead(batch)),
+            lambda batch, _: tell_and_wait(self._catalogue, CatalogueBatchRead(batch)),
             limit=CATALOGUE_RECORDS_PER_READ,
         )
         self._followers = [
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -6,7 +6,7 @@
 
 from result import Ok
 
-from bamboovale.actors import MessageActor, hand_over
+from bamboovale.actors import MessageActor, tell_and_wait
 from bamboovale.environment import Environment
 from bamboovale.log_service.follower import LogHealth, StreamFollower
 from bamboovale.log_service.log_client import LogRecord, RecordBatch
@@ -81,11 +81,11 @@
         actor = SlowActor.start()
         started = time.monotonic()
         for _ in range(3):
-            hand_over(actor, "edit")
+            tell_and_wait(actor, "edit")
         assert time.monotonic() - started >= 0.15
         actor.stop()
 
     def test_a_stopped_actor_ends_the_wait(self) -> None:
         actor = SlowActor.start()
         actor.stop()
-        hand_over(actor, "edit")
+        tell_and_wait(actor, "edit")
