--- a/bamboovale/decoding.py
+++ b/bamboovale/decoding.py
@@ -30,7 +30,7 @@
     """A document that is malformed; the last good view stays in force."""
 
 
-def rename(wanted: type, **name_by_field: str) -> None:
+def set_wire_names(wanted: type, **name_by_field: str) -> None:
     """Say which fields of a type have other names on the wire."""
     _name_by_field[wanted] = name_by_field
 
--- a/bamboovale/platform/endpoints.py
+++ b/bamboovale/platform/endpoints.py
@@ -7,7 +7,7 @@
 
 import h11
 
-from bamboovale.decoding import BadRecordError, decode, rename
+from bamboovale.decoding import BadRecordError, decode, set_wire_names
 from bamboovale.gateway.model import (
     EndpointRecord,
     EngineOrder,
@@ -73,7 +73,7 @@
     born: int | None = None
 
 
-rename(_EndpointEntry, remaining_ms="remaining-ms")
+set_wire_names(_EndpointEntry, remaining_ms="remaining-ms")
 
 
 def decode_endpoint(registered_id: str, source: bytes) -> EndpointRecord:
