--- a/bamboovale/decoding.py
+++ b/bamboovale/decoding.py
@@ -35,7 +35,7 @@
     _name_by_field[wanted] = name_by_field
 
 
-def refuse_unknown(wanted: type) -> None:
+def forbid_unknown_fields(wanted: type) -> None:
     """Take no other fields than the type's own: in a file that people write by hand."""
     _closed.add(wanted)
 
--- a/bamboovale/emulator/experiment.py
+++ b/bamboovale/emulator/experiment.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from bamboovale.decisions.mechanisms import Mechanism, Mechanisms
-from bamboovale.decoding import BadRecordError, refuse_unknown, structure
+from bamboovale.decoding import BadRecordError, forbid_unknown_fields, structure
 from bamboovale.emulator.engine import EngineFigures
 from bamboovale.emulator.outcomes import Result
 from bamboovale.emulator.play import Play
@@ -113,7 +113,7 @@
     Expectation,
     Experiment,
 ):
-    refuse_unknown(_wanted)
+    forbid_unknown_fields(_wanted)
 
 
 class BadExperimentError(ValueError):
