--- a/bamboovale/report/__init__.py
+++ b/bamboovale/report/__init__.py
@@ -1,1 +1,1 @@
-"""Reads the log lines of routed entry VMs and says how requests fared."""
+"""Summarises the outcomes of requests from the logs of routed entry VMs."""
--- a/bamboovale/report/lines.py
+++ b/bamboovale/report/lines.py
@@ -1,4 +1,4 @@
-"""Log lines of the routed interface as typed values."""
+"""Parses log lines of the routed interface into typed values."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -8,12 +8,12 @@
 
 @dataclass(frozen=True)
 class RequestLine:
-    """The end of one request; times in seconds, ``at`` on the VM's own clock.
+    """The outcome of one request; times in seconds, ``at`` on the VM's monotonic clock.
 
-    ``place_s`` was spent waiting for places at engines, ``paced_s`` of it only because
-    of the pauses of other streams; ``first_s`` is None if no event came, or for a plain
-    call. ``pause_s`` is the longest pause between events. ``requested_at`` is the time of
-    day, None in lines that do not tell it.
+    ``place_s`` is the time spent waiting for places at engines; ``paced_s`` is the
+    part of it caused by the pauses of other streams. ``first_s`` is None if no event
+    arrived, or for a plain call. ``pause_s`` is the longest pause between events.
+    ``requested_at`` is wall-clock time, None if the line carries none.
     """
 
     at: float
@@ -33,21 +33,21 @@
 
     @property
     def is_late_by_first(self) -> bool:
-        """Tell whether the first event came after the route's goal."""
+        """Return whether the first event came after the route's goal."""
         if self.first_s is None or self.goal_s is None:
             return False
         return self.first_s > self.goal_s
 
     @property
     def is_late_by_pause(self) -> bool:
-        """Tell whether the stream paused for longer than its route allows."""
+        """Return whether the stream paused for longer than its route allows."""
         allowed_s = self.pause_allowed_s
         return allowed_s is not None and self.pause_s > allowed_s
 
 
 @dataclass(frozen=True)
 class EngineLine:
-    """How full an engine was, told by its owner once a second."""
+    """The load of an engine, logged by its owner once a second."""
 
     at: float
     engine: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class Lines:
-    """What was found in the logs; ``skipped`` lines were no log lines."""
+    """The parsed log lines; ``skipped`` counts lines that could not be parsed."""
 
     requests: tuple[RequestLine, ...]
     engines: tuple[EngineLine, ...]
@@ -68,7 +68,7 @@
 
 
 def read_lines(texts: Iterable[str]) -> Lines:
-    """Read log lines of any VMs; what stands before a line's object is passed over."""
+    """Parse log lines of any VMs; text before a line's JSON object is ignored."""
     requests: list[RequestLine] = []
     engines: list[EngineLine] = []
     skipped = 0
