--- a/bamboovale/http1/__init__.py
+++ b/bamboovale/http1/__init__.py
@@ -1,6 +1,5 @@
-"""HTTP/1.1 on an event loop, framed by ``h11``: a server and pooled clients.
+"""An asyncio HTTP/1.1 server and client with connection pooling, built on ``h11``.
 
-A connection is watched while a request runs, so that a caller who leaves ends the run
-at the endpoint, and bytes that belong to no request are seen before a connection is
-used again.
+Connections are read while a request runs: a caller's disconnect cancels the request
+at the endpoint, and unsolicited bytes prevent the reuse of a connection.
 """
--- a/bamboovale/http1/connection.py
+++ b/bamboovale/http1/connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint or to the platform, one exchange at a time."""
+"""Client connection to an endpoint or the platform, one request at a time."""
 
 import asyncio
 import contextlib
@@ -9,42 +9,42 @@
 import h11
 
 CONNECT_TIMEOUT_S = 0.6
-"""An endpoint in the same region accepts within milliseconds; a lost opening packet is
-sent again only after a second, when another endpoint has long answered."""
+"""Below the one-second retransmission timeout of a lost SYN: another endpoint can be
+tried sooner."""
 USER_TIMEOUT_MS = 3000
-"""Unacknowledged bytes and silent peers end a connection after this time. A partition
-drops packets without a reset, and TCP alone would wait for many minutes."""
+"""TCP_USER_TIMEOUT: closes a connection whose data stays unacknowledged, as in a
+network partition; TCP alone would wait for minutes."""
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_PROBES = 2
 MAX_HEAD_BYTES = 64 * 1024
 HIGH_WATER_BYTES = 256 * 1024
-"""Answer bytes buffered for a caller who reads slowly before reading stops."""
+"""Response bytes buffered for a slow consumer before reading is paused."""
 
 Headers = list[tuple[bytes, bytes]]
 
 
-class ConnectFailed(Exception):  # noqa: N818 - reads as what happened
-    """The connection could not be opened: nothing was sent."""
+class ConnectFailed(Exception):  # noqa: N818 - names the outcome
+    """The connection could not be opened; no byte was sent."""
 
 
-class IncompleteResponse(Exception):  # noqa: N818 - reads as what happened
-    """The connection ended, or sent no HTTP, before the answer was complete."""
+class IncompleteResponse(Exception):  # noqa: N818 - names the condition
+    """The connection closed or sent invalid HTTP before the response was complete."""
 
 
 @dataclass(frozen=True)
 class ResponseHead:
-    """Status and headers of an answer; header names are lower case."""
+    """Status and headers of a response; header names are lower case."""
 
     status: int
     headers: Headers
 
     def get(self, name: bytes) -> bytes | None:
-        """Return the first value of a header."""
+        """Return the first value of a header, None if it is absent."""
         return next((value for key, value in self.headers if key == name), None)
 
 
 class Connection(asyncio.Protocol):
-    """A client connection; ``open`` returns one that is ready to use."""
+    """A client connection; create it with ``open``."""
 
     def __init__(self) -> None:
         self.closed = False
@@ -81,15 +81,15 @@
             raise ConnectFailed(str(error) or "timeout") from error
         return connection
 
-    # Called by the event loop.
+    # Callbacks of asyncio.Protocol.
 
     def connection_made(self, transport: Any) -> None:
-        """Bound how long a silent or partitioned peer holds the connection."""
+        """Store the transport and enable dead peer detection."""
         self._transport = transport
         enable_dead_peer_detection(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes; bytes that no request asked for end the connection."""
+        """Parse received bytes; close the connection if no request is in flight."""
         if not self._busy:
             self.close()
             return
@@ -99,21 +99,21 @@
         self._receive(data)
 
     def eof_received(self) -> None:
-        """Take the peer's orderly end, which may complete an answer."""
+        """Handle the peer's end of stream, which may complete a response."""
         self._ended = True
         if self._busy:
             self._receive(b"")
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Note whether the connection was reset: such an answer is not whole."""
+        """Record whether the connection was reset, so its response is incomplete."""
         self.closed = True
         self._reset = error is not None
         self._notify()
 
-    # Used by callers.
+    # Client interface.
 
     def send(self, request: h11.Request, body: bytes) -> None:
-        """Write a whole request."""
+        """Write a complete request."""
         self._busy = True
         self.used = True
         self.reusable = False
@@ -125,7 +125,7 @@
         self._transport.write(data)
 
     async def head(self) -> ResponseHead:
-        """Return the final head of the answer; raises IncompleteResponse."""
+        """Return the head of the final response; raises IncompleteResponse."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.InformationalResponse):
@@ -146,10 +146,10 @@
         raise IncompleteResponse("no body")
 
     def skip_response(self) -> bool:
-        """Go on to the next answer on this connection after one of another request.
+        """Skip a response to another request and await the next one.
 
-        Guards against an endpoint that answers an earlier request twice: the stray
-        answer comes first, ours right behind it. False if the connection ended.
+        Guards against an endpoint that answers an earlier request twice: the duplicate
+        precedes the expected response. Returns False if the connection is closed.
         """
         if self.closed or self._request is None:
             return False
@@ -162,7 +162,7 @@
         return True
 
     def close(self) -> None:
-        """Close at once; the peer's endpoint drops what it still runs."""
+        """Abort the connection; the endpoint cancels a request in flight."""
         self.closed = True
         if self._transport is not None:
             self._transport.abort()
@@ -206,7 +206,7 @@
                 self.keep_alive_s = _keep_alive_seconds(value)
 
     def _finish(self) -> None:
-        """Make the connection ready for the next request, if it may have one."""
+        """Mark the connection reusable if the exchange ended cleanly."""
         self._busy = False
         rest, _ = self._wire.trailing_data
         unsent = self._transport.get_write_buffer_size()
@@ -218,7 +218,7 @@
 
 
 def enable_dead_peer_detection(sock: Any) -> None:
-    """Let the kernel find a peer that went silent without a reset."""
+    """Enable TCP keep-alive and user timeout to detect a peer that sends no reset."""
     if sock is None or not hasattr(sock, "setsockopt"):
         return
     tcp = socket.IPPROTO_TCP
@@ -231,7 +231,7 @@
         (tcp, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
     )
     for level, option, value in settings:
-        with contextlib.suppress(OSError):  # not offered by this kernel
+        with contextlib.suppress(OSError):  # option not supported by this kernel
             sock.setsockopt(level, option, value)
 
 
--- a/bamboovale/http1/pool.py
+++ b/bamboovale/http1/pool.py
@@ -1,4 +1,4 @@
-"""Idle connections of each endpoint, kept for the next request."""
+"""Connection pool: idle connections of each endpoint, kept for reuse."""
 
 import asyncio
 from collections import deque
@@ -8,25 +8,25 @@
 from bamboovale.http1.connection import Connection
 
 KEEP_ALIVE_S = 4.0
-"""Used when the endpoint names no time; it closes idle connections by its own."""
+"""Idle limit for endpoints that send no ``Keep-Alive: timeout``."""
 KEEP_ALIVE_MARGIN_S = 1.0
-"""Sent so close to the endpoint's own limit, a request may cross its close."""
+"""Subtracted from the endpoint's idle timeout: a request sent just before it could
+race with the endpoint's close."""
 FRESH_IDLE_S = 2.5
-"""A request that must not run twice uses only a connection idle for less than this: a
-connection that an endpoint dropped silently is found out only by the next request, and
-then nobody knows whether it ran."""
+"""Idle limit for a request that must not run twice: if the endpoint has silently
+dropped the connection, the request fails with an unknown outcome."""
 
 
 @dataclass
 class EndpointPool:
-    """The idle connections of one endpoint, the last used first."""
+    """The idle connections of one endpoint, most recently used first."""
 
     idle: deque[Connection] = field(default_factory=deque)
     opened: int = 0
 
 
 class ConnectionPool:
-    """Hands out connections by endpoint id; an id is never used again."""
+    """Provides connections by endpoint id; endpoint ids are never reused."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         return await Connection.open(host, port, self._source, timeout_s)
 
     def give_back(self, endpoint_id: str, connection: Connection) -> None:
-        """Keep a connection whose answer was whole; close any other."""
+        """Keep a reusable connection; close any other."""
         pool = self._pool_by_id.get(endpoint_id)
         if pool is None or not connection.reusable or connection.closed:
             connection.close()
@@ -68,7 +68,7 @@
         pool.idle.appendleft(connection)
 
     def forget(self, endpoint_id: str) -> None:
-        """Close the idle connections of an endpoint that is gone."""
+        """Close the idle connections of a removed endpoint."""
         pool = self._pool_by_id.pop(endpoint_id, None)
         for connection in pool.idle if pool else ():
             connection.close()
@@ -79,13 +79,13 @@
             self.forget(endpoint_id)
 
     def sweep(self) -> None:
-        """Close what has been idle for too long."""
+        """Close connections that exceed their idle limit."""
         for pool in self._pool_by_id.values():
             while pool.idle and not self._usable(pool.idle[-1], KEEP_ALIVE_S * 10):
                 pool.idle.pop().close()
 
     def idle_count(self) -> int:
-        """Return how many connections are kept."""
+        """Return the number of idle connections."""
         return sum(len(pool.idle) for pool in self._pool_by_id.values())
 
     def _take_idle(self, pool: EndpointPool, most_s: float) -> Connection | None:
@@ -101,14 +101,14 @@
         return None
 
     def _usable(self, connection: Connection, most_s: float) -> bool:
-        named_s = connection.keep_alive_s
-        limit_s = KEEP_ALIVE_S if named_s is None else named_s - KEEP_ALIVE_MARGIN_S
+        sent_s = connection.keep_alive_s
+        limit_s = KEEP_ALIVE_S if sent_s is None else sent_s - KEEP_ALIVE_MARGIN_S
         idle_s = self._now() - connection.idle_since
         return not connection.closed and idle_s < min(limit_s, most_s)
 
 
 async def sweep_forever(pool: ConnectionPool, interval_s: float = 1.0) -> None:
-    """Close connections that have been idle for too long, now and then."""
+    """Periodically close connections that exceed their idle limit."""
     while True:
         await asyncio.sleep(interval_s)
         pool.sweep()
--- a/bamboovale/http1/server.py
+++ b/bamboovale/http1/server.py
@@ -1,4 +1,4 @@
-"""Server side: reads whole requests, hands them to a handler, streams its answer."""
+"""HTTP/1.1 server: reads complete requests and streams the handler's responses."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,7 @@
 logger = logging.getLogger(__name__)
 
 READ_AHEAD_BYTES = 256 * 1024
-"""Unread bytes of one caller that are held; a request body may be larger."""
+"""Bytes buffered from a caller that pipelines before reading is paused."""
 REASON_BY_STATUS = {
     200: b"OK",
     400: b"Bad Request",
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class ServerLimits:
-    """What a caller may send and how long it may take, in bytes and seconds."""
+    """Limits on the size of a request, in bytes, and on the time to receive it."""
 
     head_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
@@ -43,9 +43,9 @@
 
 @dataclass(frozen=True)
 class Request:
-    """A whole request; header names are lower case, values as sent.
+    """A complete request; header names are lower case, values as sent.
 
-    ``received_at`` is the loop's time at which its head was complete.
+    ``received_at`` is the event loop's time at which the head was complete.
     """
 
     method: str
@@ -55,12 +55,12 @@
     received_at: float
 
     def get(self, name: bytes) -> bytes | None:
-        """Return the first value of a header."""
+        """Return the first value of a header, None if it is absent."""
         return next((value for key, value in self.headers if key == name), None)
 
 
-class BadRequest(Exception):  # noqa: N818 - reads as what happened
-    """The bytes are no acceptable request; ``status`` says why."""
+class BadRequest(Exception):  # noqa: N818 - HTTP's name
+    """The request is rejected with the HTTP status ``status``."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -71,36 +71,36 @@
 
 
 class Responder:
-    """Writes the answer of one request."""
+    """Writes the response to one request."""
 
     def __init__(self, connection: "ServerConnection") -> None:
         self._connection = connection
         self.started = False
 
     def close_after(self) -> None:
-        """End the connection once this answer is complete."""
+        """Close the connection once this response is complete."""
         self._connection.close_after = True
 
     def start(self, status: int, headers: Headers) -> None:
-        """Write the head."""
+        """Write the response head."""
         self.started = True
         self._connection.write_head(status, headers)
 
     async def write(self, data: bytes) -> None:
-        """Write bytes of the body; waits while the caller does not read."""
+        """Write bytes of the body; waits while the write buffer is full."""
         self._connection.write_data(data)
         await self._connection.drain()
 
     def finish(self) -> None:
-        """End the body: the answer is whole."""
+        """Complete the response."""
         self._connection.write_end()
 
     def abort(self) -> None:
-        """Cut the connection: what the caller has must not look whole."""
+        """Reset the connection, so that a partial response does not look complete."""
         self._connection.abort()
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write a whole answer with a length."""
+        """Write a complete response with a Content-Length."""
         length = (b"content-length", str(len(body)).encode())
         self.start(status, [*headers, length])
         if body:
@@ -109,9 +109,9 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """Serves the requests of one connection, one after the other.
+    """Serves the requests of one connection sequentially.
 
-    The task that runs the handler is cancelled when the caller leaves.
+    The task that runs the handler is cancelled when the caller disconnects.
     """
 
     def __init__(self, server: "Server") -> None:
@@ -128,17 +128,17 @@
         self._unread = 0
         self._lost = False
 
-    # Called by the event loop.
+    # Callbacks of asyncio.Protocol.
 
     def connection_made(self, transport: Any) -> None:
-        """Begin to serve."""
+        """Start the task that serves requests."""
         self._transport = transport
         enable_dead_peer_detection(transport.get_extra_info("socket"))
         self._server.connections.add(self)
         self._task = asyncio.get_running_loop().create_task(self._serve())
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes; a caller far ahead of its answers is read no further."""
+        """Parse received bytes; pause reading when a caller pipelines too much."""
         self._unread += len(data)
         if self.busy and self._unread > READ_AHEAD_BYTES:
             self._transport.pause_reading()
@@ -147,7 +147,7 @@
         self._notify()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """End the run of a caller that has left."""
+        """Cancel the request of a caller that has disconnected."""
         self._lost = True
         self._server.connections.discard(self)
         if self._writable is not None and not self._writable.done():
@@ -156,19 +156,19 @@
             self._task.cancel()
 
     def pause_writing(self) -> None:
-        """Let writers wait: the caller does not keep up."""
+        """Make ``drain`` wait: the write buffer is full."""
         self._writable = asyncio.get_running_loop().create_future()
 
     def resume_writing(self) -> None:
-        """Let writers go on."""
+        """Release tasks that wait in ``drain``."""
         if self._writable is not None and not self._writable.done():
             self._writable.set_result(None)
         self._writable = None
 
-    # Used by the responder.
+    # Used by Responder.
 
     def write_head(self, status: int, headers: Headers) -> None:
-        """Write the head of an answer."""
+        """Write the head of a response."""
         if self.close_after:
             headers = [*headers, (b"connection", b"close")]
         reason = REASON_BY_STATUS.get(status, b"")
@@ -183,7 +183,7 @@
         self._write(h11.EndOfMessage())
 
     async def drain(self) -> None:
-        """Wait until the caller has read enough."""
+        """Wait until the write buffer has room."""
         if self._writable is not None:
             await self._writable
 
@@ -193,7 +193,7 @@
         self._transport.abort()
 
     def close_if_idle(self) -> None:
-        """Close a connection on which no request is under way."""
+        """Close the connection if no request is in flight."""
         if not self.busy and not self._unread:
             self._transport.close()
 
@@ -206,7 +206,7 @@
         if self._wake is not None and not self._wake.done():
             self._wake.set_result(None)
 
-    # The task.
+    # Run by the connection's task.
 
     async def _serve(self) -> None:
         try:
@@ -216,13 +216,13 @@
             if not self._lost:
                 raise
         except Exception:
-            logger.exception("a connection failed")
+            logger.exception("unhandled error on a connection")
         finally:
             if not self._lost:
                 self._transport.close()
 
     async def _serve_one(self) -> bool:
-        """Serve one request; False when the connection is to be closed."""
+        """Serve one request; return False if the connection is to be closed."""
         try:
             request = await self._read_request()
         except BadRequest as bad:
@@ -237,7 +237,7 @@
         except asyncio.CancelledError:
             raise
         except Exception:
-            logger.exception("a request failed")
+            logger.exception("unhandled error in a request handler")
             if responder.started:
                 self.abort()
                 return False
@@ -267,7 +267,7 @@
         received_at = loop.time()
         headers = [(bytes(name), bytes(value)) for name, value in head.headers]
         check_framing(headers)
-        # The library bounds only heads that are incomplete when they are looked at.
+        # h11 bounds only heads that are still incomplete when it parses them.
         if head_size(head) > limits.head_bytes:
             raise BadRequest(431, "the head is too large")
         body = await self._read_body(headers, limits, received_at)
@@ -285,8 +285,8 @@
         limits: ServerLimits,
         started_at: float,
     ) -> bytes:
-        named = next((v for k, v in headers if k == b"content-length"), b"0")
-        if int(named) > limits.body_bytes:
+        length = next((v for k, v in headers if k == b"content-length"), b"0")
+        if int(length) > limits.body_bytes:
             raise BadRequest(413, "the body is too large")
         if self._wire.they_are_waiting_for_100_continue:
             self._write(h11.InformationalResponse(status_code=100, headers=[]))
@@ -304,7 +304,7 @@
             if size > limits.body_bytes:
                 raise BadRequest(413, "the body is too large")
 
-    async def _event(self, deadline: float, late: str) -> Any:
+    async def _event(self, deadline: float, timeout_reason: str) -> Any:
         loop = asyncio.get_running_loop()
         while True:
             try:
@@ -316,10 +316,10 @@
                 return event
             self._unread = 0
             if not await self._wait(deadline - loop.time()):
-                raise BadRequest(408, late)
+                raise BadRequest(408, timeout_reason)
 
     async def _wait(self, timeout_s: float) -> bool:
-        """Wait for bytes; False when none came in time."""
+        """Wait for bytes; return False on timeout."""
         self._wake = asyncio.get_running_loop().create_future()
         try:
             async with asyncio.timeout(max(0.0, timeout_s)):
@@ -331,7 +331,7 @@
         return True
 
     def _refuse(self, bad: BadRequest) -> None:
-        """Answer a request that cannot be read, and close."""
+        """Reject a malformed request and close the connection."""
         self.close_after = True
         self._server.on_bad_request(bad)
         if self._wire.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
@@ -341,7 +341,7 @@
 
 
 class Server:
-    """Listens on one address; ``limits`` may change while it runs."""
+    """An HTTP server; ``limits`` is called for each request."""
 
     def __init__(
         self,
@@ -364,38 +364,38 @@
         return int(self._listener.sockets[0].getsockname()[1])
 
     def stop_listening(self) -> None:
-        """Take no new connections."""
+        """Stop accepting connections."""
         if self._listener is not None:
             self._listener.close()
 
     def close(self) -> None:
-        """Stop listening and cut every connection."""
+        """Stop listening and reset every connection."""
         self.stop_listening()
         for connection in list(self.connections):
             connection.abort()
 
     def close_idle(self) -> None:
-        """Close the connections that carry no request."""
+        """Close connections with no request in flight."""
         for connection in list(self.connections):
             connection.close_if_idle()
 
     @property
     def busy(self) -> int:
-        """Return how many requests are under way."""
+        """Return the number of requests in flight."""
         return sum(connection.busy for connection in self.connections)
 
 
 def head_size(head: h11.Request) -> int:
-    """Return about how many bytes a head took on the wire."""
+    """Return the approximate size of a request head in bytes."""
     lines = sum(len(name) + len(value) + 4 for name, value in head.headers)
     return lines + len(head.method) + len(head.target) + 14
 
 
 def check_framing(headers: Headers) -> None:
-    """Refuse a head whose body length could be read in two ways.
+    """Reject a head whose body length is ambiguous; raises BadRequest.
 
-    Guards against request smuggling: with both a length and chunks, two servers may
-    disagree on where the next request begins. Raises BadRequest.
+    Guards against request smuggling: with both Content-Length and Transfer-Encoding,
+    two servers may disagree on where the next request starts.
     """
     names = [name for name, _ in headers]
     if b"transfer-encoding" in names and b"content-length" in names:
--- a/tests/raw_http.py
+++ b/tests/raw_http.py
@@ -1,4 +1,4 @@
-"""Requests that no HTTP library would send."""
+"""Sends raw bytes over TCP, for requests that no HTTP library would send."""
 
 import json
 import socket
@@ -15,19 +15,19 @@
 
 @dataclass(frozen=True)
 class RawAnswer:
-    """What came back until the other side closed; status 0 if nothing did."""
+    """The bytes received until the server closed; status 0 if not HTTP."""
 
     status: int
     text: str
 
     @property
     def error(self) -> dict[str, Any]:
-        """Return the error of an answer in the product's own form."""
+        """Return the ``error`` object of a JSON response."""
         return json.loads(self.text.partition("\r\n\r\n")[2])["error"]
 
 
 def send(address: Address, data: bytes, *, then_end: bool = False) -> RawAnswer:
-    """Send bytes and read until the other side closes; may end the sending first."""
+    """Send bytes and read until the server closes; ``then_end`` half-closes first."""
     received = b""
     with socket.create_connection(address, TIMEOUT_S) as connection:
         try:
@@ -37,8 +37,8 @@
             while piece := connection.recv(1 << 16):
                 received += piece
         except OSError as error:
-            # What was read before a reset counts. A reset before our end of the
-            # request shows as "not connected", which is no ConnectionError.
+            # Bytes read before a reset are kept. shutdown() after a reset raises
+            # ENOTCONN, which is not a ConnectionError.
             if not isinstance(error, ConnectionError) and error.errno != ENOTCONN:
                 raise
     text = received.decode("latin-1")
@@ -52,15 +52,15 @@
     body: Any = b"",
     headers: dict[str, str] | None = None,
 ) -> bytes:
-    """Return a well-framed request; a body that is not bytes goes as JSON."""
+    """Return a well-formed request; a body that is not bytes is encoded as JSON."""
     content = body if isinstance(body, bytes) else json.dumps(body).encode()
-    named = {
+    all_headers = {
         "Host": "x",
         "Connection": "close",
         "Content-Length": str(len(content)),
         **(headers or {}),
     }
-    head = "".join(f"{name}: {value}\r\n" for name, value in named.items())
+    head = "".join(f"{name}: {value}\r\n" for name, value in all_headers.items())
     return f"{method} {path} HTTP/1.1\r\n{head}\r\n".encode("latin-1") + content
 
 
@@ -70,7 +70,7 @@
     count: int,
     data: bytes,
 ) -> Iterator[list[socket.socket]]:
-    """Hold connections that have sent the same bytes and then no more."""
+    """Hold open connections that sent the given bytes and then stay silent."""
     with ExitStack() as stack:
         connections = [
             stack.enter_context(socket.create_connection(address, 5))
@@ -82,7 +82,7 @@
 
 
 def trickle(connections: Iterable[socket.socket], data: bytes) -> None:
-    """Send a few bytes on each connection; those that were closed are left out."""
+    """Send bytes on each connection; closed connections are skipped."""
     for connection in connections:
         try:
             connection.sendall(data)
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 at the sockets: bad input, limits, early and broken answers."""
+"""HTTP/1.1 server and client over sockets: bad input, limits, broken responses."""
 
 import asyncio
 import socket
@@ -26,7 +26,7 @@
 
 @asynccontextmanager
 async def server(seen: list[Request]) -> AsyncIterator[tuple[str, int]]:
-    """Run a server that notes requests and echoes their bodies."""
+    """Run a server that records requests and echoes their bodies."""
 
     async def echo(request: Request, responder: Responder) -> None:
         seen.append(request)
@@ -43,7 +43,7 @@
 async def send_raw(
     address: tuple[str, int], *pieces: bytes, pause_s: float = 0
 ) -> bytes:
-    """Send bytes as they are and return all that came back until the close."""
+    """Send raw bytes and return everything received until the close."""
     reader, writer = await asyncio.open_connection(*address)
     for piece in pieces:
         writer.write(piece)
@@ -57,12 +57,12 @@
 
 
 def head(*lines: str) -> bytes:
-    """Return a request's head."""
+    """Return a request head with extra header lines."""
     return "\r\n".join(["POST /p HTTP/1.1", "Host: h", *lines, "", ""]).encode()
 
 
 class TestBadRequests:
-    """Requests that must not pass, each with its status."""
+    """Malformed requests and the status they are rejected with."""
 
     @pytest.mark.parametrize(
         ("data", "status"),
@@ -92,12 +92,10 @@
             "bad chunk",
         ],
     )
-    def test_it_is_refused_and_never_handled(self, data: bytes, status: int) -> None:
-        """A caller sends a request that two servers could read in two ways.
-
-        Passed on, what one of them takes for a body would be run by the other as a
-        request of its own.
-        """
+    def test_request_is_rejected_and_not_handled(
+        self, data: bytes, status: int
+    ) -> None:
+        """Guards against request smuggling and oversized or malformed requests."""
 
         async def test() -> None:
             seen: list[Request] = []
@@ -120,8 +118,8 @@
 
         run(test())
 
-    def test_a_slow_head_is_given_up(self) -> None:
-        """A caller opens a connection and sends its head a byte now and then."""
+    def test_a_slow_head_times_out(self) -> None:
+        """Guards against slow-header (slowloris) connections."""
 
         async def test() -> None:
             async with server([]) as address:
@@ -132,7 +130,7 @@
 
         run(test())
 
-    def test_a_body_that_stops_is_given_up(self) -> None:
+    def test_a_stalled_body_times_out(self) -> None:
         async def test() -> None:
             seen: list[Request] = []
             async with server(seen) as address:
@@ -144,7 +142,7 @@
 
 
 class TestGoodRequests:
-    """Requests as callers send them."""
+    """Well-formed requests."""
 
     def test_pipelined_and_chunked_requests_are_answered_in_order(self) -> None:
         async def test() -> None:
@@ -171,9 +169,9 @@
     def test_an_idle_connection_is_closed(self) -> None:
         async def test() -> None:
             async with server([]) as address:
-                began = asyncio.get_running_loop().time()
+                started_at = asyncio.get_running_loop().time()
                 assert await send_raw(address) == b""
-                assert asyncio.get_running_loop().time() - began < 1.5
+                assert asyncio.get_running_loop().time() - started_at < 1.5
 
         run(test())
 
@@ -183,7 +181,7 @@
 
 @asynccontextmanager
 async def endpoint(script: Script) -> AsyncIterator[tuple[str, int]]:
-    """Run an endpoint that answers as a script says, byte by byte."""
+    """Run an endpoint that writes the raw bytes of a script."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await script(reader, writer)
@@ -196,7 +194,7 @@
 
 
 async def ask(connection: Connection, body: bytes = b"") -> bytes:
-    """Send a request and return the answer's body."""
+    """Send a request and return the response body."""
     headers = [("Host", "h"), ("Content-Length", str(len(body)))]
     connection.send(h11.Request(method="POST", target="/", headers=headers), body)
     await connection.head()
@@ -206,10 +204,10 @@
     return received
 
 
-class TestAnswers:
-    """Answers of endpoints, whole and broken."""
+class TestResponses:
+    """Complete and broken responses of endpoints."""
 
-    def test_an_answer_without_length_ends_with_an_orderly_close(self) -> None:
+    def test_a_response_without_length_ends_with_an_orderly_close(self) -> None:
         async def test() -> None:
             async def script(
                 reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -225,11 +223,8 @@
 
         run(test())
 
-    def test_an_answer_without_length_that_is_reset_is_not_whole(self) -> None:
-        """An endpoint crashes while it sends an answer that has no length.
-
-        Its first half would pass for the whole answer.
-        """
+    def test_a_response_without_length_that_is_reset_is_incomplete(self) -> None:
+        """Guards against a truncated response being treated as complete."""
 
         async def test() -> None:
             async def script(
@@ -261,7 +256,7 @@
         ],
         ids=["short", "cut chunks", "no HTTP", "nothing"],
     )
-    def test_a_broken_answer_is_told_as_broken(self, answer: bytes) -> None:
+    def test_a_broken_response_raises(self, answer: bytes) -> None:
         async def test() -> None:
             async def script(
                 reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -277,11 +272,8 @@
 
         run(test())
 
-    def test_a_connection_with_bytes_nobody_asked_for_is_not_used_again(self) -> None:
-        """An endpoint sends more bytes after a whole answer.
-
-        The next request on that connection would get them as its answer.
-        """
+    def test_a_connection_with_unsolicited_bytes_is_not_reused(self) -> None:
+        """Guards against stray bytes being taken as the next request's response."""
 
         async def test() -> None:
             async def script(
@@ -303,10 +295,10 @@
 
         run(test())
 
-    def test_an_early_answer_leaves_no_half_sent_body_behind(self) -> None:
-        """An endpoint answers before it has read a long body and keeps the connection.
+    def test_a_connection_with_a_half_sent_body_is_not_reused(self) -> None:
+        """Guards against the next request being read as the rest of a body.
 
-        The next request would land where the rest of that body is due.
+        The endpoint responds before it has read the body and stays connected.
         """
 
         async def test() -> None:
@@ -324,7 +316,7 @@
 
         run(test())
 
-    def test_nobody_listens(self) -> None:
+    def test_a_refused_connection_raises(self) -> None:
         async def test() -> None:
             with pytest.raises(ConnectFailed):
                 await Connection.open("127.0.0.1", free_port())
@@ -332,13 +324,13 @@
         run(test())
 
 
-class TestCallersThatLeft:
-    """A handler that goes on writing after the caller's connection was reset."""
+class TestDisconnectedCallers:
+    """A handler that keeps writing after the caller's connection was reset."""
 
-    def test_many_late_pieces_write_no_line_of_the_event_loop(
+    def test_writes_after_a_reset_log_no_asyncio_warnings(
         self, caplog: pytest.LogCaptureFixture
     ) -> None:
-        """Guards against a flood of lines after a freeze, one for each event."""
+        """Guards against one asyncio log line for each write after a reset."""
 
         async def test() -> None:
             wrote = asyncio.Event()
@@ -349,7 +341,7 @@
                 await responder.write(b"first")
                 wrote.set()
                 await left.wait()
-                # No pause: the loop has not told of the reset yet.
+                # No await point: connection_lost has not been called yet.
                 for _ in range(50):
                     await responder.write(b"late")
 
@@ -370,15 +362,12 @@
 
 
 class TestPool:
-    """Kept connections."""
+    """Reuse of idle connections."""
 
     def test_a_request_that_must_not_run_twice_gets_a_fresh_connection(
         self,
     ) -> None:
-        """An endpoint drops an idle connection silently.
-
-        The next booking would be reset, and nobody could say whether it ran.
-        """
+        """Guards against an unknown outcome on a silently dropped idle connection."""
 
         async def test() -> None:
             async with server([]) as address:
