--- a/bamboovale/cli/__init__.py
+++ b/bamboovale/cli/__init__.py
@@ -1,7 +1,7 @@
-"""The command line."""
+"""Command-line interface."""
 
 import typer.core
 
-# Plain help: nothing is cut off in a narrow terminal, and no brackets are escaped for
-# a renderer that is not used. Typer has no setting for it.
+# Disables Rich, which truncates help in narrow terminals and escapes brackets. Typer
+# has no other setting for it.
 typer.core.HAS_RICH = False
--- a/bamboovale/cli/administration.py
+++ b/bamboovale/cli/administration.py
@@ -1,4 +1,4 @@
-"""Client of the administration API, as the command line uses it."""
+"""Client of the administration API."""
 
 import json
 from dataclasses import dataclass
@@ -10,10 +10,10 @@
 from bamboovale.status import ExitStatus
 
 CONNECT_TIMEOUT_S = 2.0
-# Longer than any call of the API takes; it answers by itself before that.
+# Longer than the server's own time limit for any call.
 READ_TIMEOUT_S = 30.0
-# Another entry VM may do better after these; after any other answer it would not.
-# The same edit id goes along, so that an edit takes effect once.
+# Errors after which the next entry VM is tried. The edit id stays the same, so that
+# an edit takes effect only once.
 CODES_TO_TRY_ELSEWHERE = (
     ErrorCode.LOG_UNAVAILABLE,
     ErrorCode.OUTCOME_UNKNOWN,
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """What came back, from whichever entry VM answered last."""
+    """The response of the entry VM that was called last."""
 
     status: ExitStatus
     body: Any
 
     @property
     def error(self) -> dict[str, Any]:
-        """Return the error object of the body, empty if there is none."""
+        """Return the error object of the body, empty if it has none."""
         error = self.body.get("error") if isinstance(self.body, dict) else None
         return error if isinstance(error, dict) else {}
 
@@ -73,7 +73,7 @@
 
 
 class AdministrationClient:
-    """Calls the first entry VM that answers."""
+    """Calls entry VMs in turn until one gives a final response."""
 
     def __init__(self, urls: list[str], token: str, pool: urllib3.PoolManager) -> None:
         self._urls = urls
@@ -82,7 +82,7 @@
 
     @classmethod
     def from_urls(cls, urls: list[str], token: str) -> "AdministrationClient":
-        """Return a client without automatic repeats and redirects."""
+        """Return a client without automatic retries and redirects."""
         timeout = urllib3.Timeout(connect=CONNECT_TIMEOUT_S, read=READ_TIMEOUT_S)
         pool = urllib3.PoolManager(retries=False, timeout=timeout)
         return cls([url.rstrip("/") for url in urls], token, pool)
@@ -94,7 +94,7 @@
         data: Any = None,
         headers: dict[str, str] | None = None,
     ) -> Answer:
-        """Call each URL in turn until one gives an answer to stay with."""
+        """Call each URL in turn until one gives a final response."""
         sent = {name: text.encode() for name, text in (headers or {}).items()}
         if self._token:
             sent["Authorization"] = f"Bearer {self._token}".encode()
@@ -113,8 +113,8 @@
                 code not in CODES_TO_TRY_ELSEWHERE
             ):
                 return answer
-        # If one VM may have appended the edit, "unavailable" from the next does not
-        # make it undone.
+        # One VM may have appended the edit, so an "unavailable" from a later one must
+        # not hide the unknown outcome.
         return unknown or answer
 
     def _call_one(
@@ -139,7 +139,7 @@
         except urllib3.exceptions.HTTPError as error:
             if method == "GET":
                 return _unreachable(f"{url}: {error}")
-            # The request may have reached the VM: an edit may be on the log.
+            # The request may have reached the VM and appended an edit to the log.
             return _unknown(f"{url}: {error}", headers)
         return _read_answer(response.status, response.data)
 
--- a/bamboovale/cli/catalogue.py
+++ b/bamboovale/cli/catalogue.py
@@ -1,4 +1,4 @@
-"""``bamboovale catalogue``: the operators' commands, over the administration API."""
+"""``bamboovale catalogue``: reads and edits the catalogue of adapters and pools."""
 
 import getpass
 import json
@@ -24,7 +24,7 @@
 
 DEFAULT_ADMIN_URLS = ["http://127.0.0.1:8081"]
 DEFAULT_WAIT_S = 30.0
-# One call of the API waits for this long at most; the command asks again.
+# Upper bound of one long poll; the command repeats it until its own timeout.
 WAIT_PER_CALL_S = 10.0
 
 app = typer.Typer(
@@ -37,7 +37,7 @@
 
 
 class OutputFormat(StrEnum):
-    """How results are printed."""
+    """Output format of results."""
 
     TABLE = "table"
     JSON = "json"
@@ -230,13 +230,13 @@
         answer = client.call("GET", "/admin/v1/revision")
         _exit_unless_ok(answer)
         revision = answer.body["revision"]
-    give_up_at = time.monotonic() + timeout
+    deadline = time.monotonic() + timeout
     while True:
-        wait_s = min(WAIT_PER_CALL_S, max(0.0, give_up_at - time.monotonic()))
+        wait_s = min(WAIT_PER_CALL_S, max(0.0, deadline - time.monotonic()))
         query = urlencode({"revision": revision, "timeout_s": f"{wait_s:.3f}"})
         answer = client.call("GET", f"/admin/v1/in-force?{query}")
         _exit_unless_ok(answer)
-        if answer.body["in_force"] or time.monotonic() >= give_up_at:
+        if answer.body["in_force"] or time.monotonic() >= deadline:
             break
         time.sleep(0.1)
     if output is OutputFormat.JSON:
@@ -266,7 +266,7 @@
     try:
         return getpass.getuser()
     except (KeyError, OSError):
-        return ""  # refused with a finding that asks for an author
+        return ""  # the server rejects an edit without an author
 
 
 def _condition(if_revision: int | None) -> dict[str, str]:
@@ -291,7 +291,7 @@
 
 
 def _without_revisions(data: dict[str, Any]) -> dict[str, Any]:
-    """Take a list as ``list --format json`` prints it: a copy can be applied again."""
+    """Drop revisions, so that the output of ``list --format json`` can be applied."""
     data.pop("revision", None)
     entries = data.get("entries")
     for entry in entries if isinstance(entries, list) else ():
--- a/bamboovale/cli/catalogue_output.py
+++ b/bamboovale/cli/catalogue_output.py
@@ -1,4 +1,4 @@
-"""How ``bamboovale catalogue`` prints what the administration answered."""
+"""Text output of ``bamboovale catalogue``."""
 
 import json
 import time
@@ -8,12 +8,12 @@
 
 
 def print_json(data: Any) -> None:
-    """Print any value as JSON."""
+    """Print a value as indented JSON."""
     typer.echo(json.dumps(data, indent=2))
 
 
 def entry_line(entry: dict[str, Any]) -> str:
-    """Return the line of an entry in a list."""
+    """Return the table row of an entry."""
     detail = entry.get("base_model", "")
     if entry["kind"] == "adapter":
         detail = f"{entry['adapter']}@{entry['version']} in {entry['pool']}"
@@ -27,7 +27,7 @@
 
 
 def history_lines(record: dict[str, Any]) -> list[str]:
-    """Return the lines of an accepted edit: when, whose and what it changed."""
+    """Return the lines for an accepted edit: time, author, id and its changes."""
     moment = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(record["made_at"]))
     head = f"{record['revision']:>8}  {moment}  {record['author']}  {record['edit_id']}"
     lines = [head]
@@ -42,7 +42,7 @@
 
 
 def print_in_force(report: dict[str, Any]) -> None:
-    """Print which entry VMs have a revision in force, or who has not."""
+    """Print how many entry VMs have a revision in force, or which do not."""
     if report["in_force"]:
         count = len(report["revision_by_vm"])
         typer.echo(f"revision {report['revision']} is in force on {count} entry VMs")
--- a/bamboovale/cli/catalogue_recovery.py
+++ b/bamboovale/cli/catalogue_recovery.py
@@ -1,8 +1,8 @@
-"""``bamboovale catalogue begin-anew``: after the log has lost the catalogue.
+"""``bamboovale catalogue begin-anew``: recovers from a log that lost the catalogue.
 
-If every entry VM is down for longer than the log keeps the last snapshot, no VM can
-ever fold the stream again and none serves. This appends an empty catalogue as the new
-beginning; the operators then apply their own file.
+If all entry VMs are down until the last snapshot expires from the log, no VM can
+rebuild the catalogue and none serves. The command appends a snapshot of an empty
+catalogue; operators then apply their own file.
 """
 
 from typing import Annotated, NoReturn
@@ -66,8 +66,8 @@
 
 
 def _check_that_no_vm_has_one(admin: list[str], token: str) -> None:
-    # A VM that still has the catalogue would go on with it, and VMs that start later
-    # with the empty one: two catalogues. It also writes a snapshot by itself.
+    # Guards against two diverging catalogues: a VM that still has the old one would
+    # keep it, while VMs that start later would load the empty one.
     for url in admin:
         client = AdministrationClient.from_urls([url], token)
         answer = client.call("GET", "/admin/v1/revision")
--- a/bamboovale/cli/entry.py
+++ b/bamboovale/cli/entry.py
@@ -21,10 +21,10 @@
 def with_settings_options(
     command: Callable[[Result[Settings, list[Finding]]], None],
 ) -> Callable[..., None]:
-    """Give a command one option for each setting, with its variable and help.
+    """Add one option per setting to a command, with its variable and help.
 
-    Options are taken as text: the settings convert and check them all, so that a
-    user sees every finding at once and not only the first.
+    Options are passed as text: ``Settings`` converts and checks all of them, so that
+    a user sees every finding at once.
     """
 
     def wrapper(**values: str | None) -> None:
@@ -60,8 +60,8 @@
     return "|".join(choices) if choices else type(default).__name__.upper()
 
 
-def _report(findings: list[Finding]) -> NoReturn:
-    """Print all findings and end the program."""
+def _exit_with_findings(findings: list[Finding]) -> NoReturn:
+    """Print all findings and exit."""
     for finding in findings:
         typer.echo(f"{finding.place}: {finding.message}", err=True)
     raise typer.Exit(ExitStatus.SETTINGS_INVALID)
@@ -70,11 +70,11 @@
 @with_settings_options
 def entry(checked: Result[Settings, list[Finding]]) -> None:
     """Run an entry VM until it is told to stop; SIGTERM drains it first."""
-    # Imported late: the other commands start without the server's libraries.
+    # Imported here so that the other commands do not load the server's libraries.
     from bamboovale.core import run_entry
 
     if isinstance(checked, Err):
-        _report(checked.err_value)
+        _exit_with_findings(checked.err_value)
     settings = checked.ok_value
     configure_logs(settings.log_format, settings.log_level)
     raise typer.Exit(run_entry(settings))
@@ -84,7 +84,7 @@
 def check_settings(checked: Result[Settings, list[Finding]]) -> None:
     """Check the settings of an entry VM and print them, without starting it."""
     if isinstance(checked, Err):
-        _report(checked.err_value)
+        _exit_with_findings(checked.err_value)
     typer.echo(json.dumps(checked.ok_value.to_json(), indent=2))
 
 
--- a/bamboovale/cli/experiment.py
+++ b/bamboovale/cli/experiment.py
@@ -1,4 +1,4 @@
-"""``bamboovale experiment``: play the decisions about engines in virtual time."""
+"""``bamboovale experiment``: simulates scheduling decisions in virtual time."""
 
 import re
 from pathlib import Path
@@ -25,27 +25,27 @@
     ] = "1/1",
 ) -> None:
     """Play an experiment; ends with 1 if a stated expectation fails."""
-    from bamboovale.emulator import experiment as plays
+    from bamboovale.emulator import experiment as experiments
 
     share = _read_part(part)
     try:
-        wanted = plays.Experiment.from_file(file)
-    except plays.BadExperimentError as error:
+        config = experiments.Experiment.from_file(file)
+    except experiments.BadExperimentError as error:
         for finding in error.findings:
             typer.echo(f"{file}: {finding}", err=True)
         raise typer.Exit(ExitStatus.USAGE) from error
-    total = len(wanted.seeds) * len(wanted.policies) // share[1]
+    total = len(config.seeds) * len(config.policies) // share[1]
     with typer.progressbar(length=max(1, total), label="plays") as bar:
-        rows = plays.run_experiment(wanted, lambda: bar.update(1), share)
-    typer.echo(plays.table(rows))
+        rows = experiments.run_experiment(config, lambda: bar.update(1), share)
+    typer.echo(experiments.table(rows))
     if csv is not None:
-        plays.write_csv(rows, csv)
+        experiments.write_csv(rows, csv)
     if plot is not None:
-        plays.draw(rows, plot)
-    broken = plays.broken_expectations(wanted, rows)
-    for line in broken:
+        experiments.draw(rows, plot)
+    failures = experiments.broken_expectations(config, rows)
+    for line in failures:
         typer.echo(line, err=True)
-    if broken:
+    if failures:
         raise typer.Exit(ExitStatus.ERROR)
 
 
--- a/bamboovale/cli/gateway.py
+++ b/bamboovale/cli/gateway.py
@@ -47,7 +47,7 @@
     ] = False,
 ) -> None:
     """Run an entry VM on the users' platform; SIGTERM drains it first."""
-    # Imported late: the other commands start without the server's libraries.
+    # Imported here so that the other commands do not load the server's libraries.
     from bamboovale.routed_vm import ProcessOptions, serve
 
     options = ProcessOptions.from_values(
--- a/bamboovale/cli/main.py
+++ b/bamboovale/cli/main.py
@@ -1,7 +1,6 @@
-"""The command tree: each command lives in a module of its own, imported when used.
+"""The command tree; each command's module is imported only when the command runs.
 
-An entry VM that was killed serves again once its process is up; importing what other
-commands need took half of that time (0.42 s to 0.22 s for ``gateway --check``).
+Lazy imports shorten the restart of an entry VM.
 """
 
 import importlib
@@ -16,7 +15,7 @@
 
 @dataclass(frozen=True)
 class CommandLocation:
-    """Where a command is: a function, or the application of a group, in a module."""
+    """Module and name of a command's function or of a command group's Typer app."""
 
     module: str
     name: str
@@ -47,18 +46,18 @@
 
 
 class LazyGroup(TyperGroup):
-    """Imports a command's module only when the command is asked for."""
+    """Command group that imports a command's module on first use."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Return all names, in the order of the help."""
+        """Return all command names, in the order of the help."""
         return [*super().list_commands(ctx), *LOCATION_BY_COMMAND]
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return one command, None if there is no such."""
-        place = LOCATION_BY_COMMAND.get(cmd_name)
-        if place is None:
+        """Return a command by name, None if it does not exist."""
+        location = LOCATION_BY_COMMAND.get(cmd_name)
+        if location is None:
             return super().get_command(ctx, cmd_name)
-        command = place.load()
+        command = location.load()
         command.name = cmd_name
         return command
 
@@ -69,7 +68,7 @@
     help="Serve very many LoRA adapters on a few shared model engines.",
     no_args_is_help=True,
     add_completion=False,
-    rich_markup_mode=None,  # plain help: nothing is cut off in a narrow terminal
+    rich_markup_mode=None,  # plain help, not truncated in narrow terminals
     pretty_exceptions_enable=False,  # a traceback must not show tokens in locals
 )
 
--- a/bamboovale/cli/report.py
+++ b/bamboovale/cli/report.py
@@ -1,4 +1,4 @@
-"""``bamboovale report``: how requests fared, from the log lines of entry VMs."""
+"""``bamboovale report``: summarises request outcomes from logs of entry VMs."""
 
 import sys
 from collections.abc import Iterator
@@ -25,13 +25,13 @@
     ] = None,
 ) -> None:
     """Print outcomes, waits, reasons and how full engines were."""
-    # Imported late: the other commands start without it.
+    # Imported here so that the other commands do not load it.
     from bamboovale.report.lines import read_lines
     from bamboovale.report.tables import render
     from bamboovale.report.timeline import draw
 
     try:
-        lines = read_lines(_texts(files or []))
+        lines = read_lines(_log_lines(files or []))
         typer.echo(render(lines, goal))
         if plot is not None:
             draw(lines.requests, plot)
@@ -40,7 +40,7 @@
         raise typer.Exit(ExitStatus.USAGE) from error
 
 
-def _texts(files: list[Path]) -> Iterator[str]:
+def _log_lines(files: list[Path]) -> Iterator[str]:
     if not files:
         yield from sys.stdin
     for file in files:
--- a/bamboovale/cli/settings_table.py
+++ b/bamboovale/cli/settings_table.py
@@ -1,4 +1,4 @@
-"""``bamboovale settings-table``: the table of ``docs/SETTINGS.md``."""
+"""``bamboovale settings-table``: prints the table of ``docs/SETTINGS.md``."""
 
 from collections.abc import Iterator
 from dataclasses import fields
@@ -23,7 +23,7 @@
 
 
 def render_table() -> str:
-    """Return the table of all settings, made from their declaration."""
+    """Return the Markdown table of all settings, built from their declarations."""
     return "\n".join([HEAD, *_rows()])
 
 
--- a/bamboovale/cli/standin.py
+++ b/bamboovale/cli/standin.py
@@ -1,7 +1,6 @@
-"""``bamboovale standin``: small stand-ins of the platform and the endpoints.
+"""``bamboovale standin``: stand-ins for the platform's services and the endpoints.
 
-Modules are imported by the command that needs them, so that an entry VM does not
-carry the stand-ins in memory.
+Each command imports its own modules, so that an entry VM does not load the stand-ins.
 """
 
 from typing import Annotated
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line as a user meets it."""
+"""The command line, run as a subprocess."""
 
 import subprocess
 import sys
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: all findings together, each with its place."""
+"""Validation of settings and the commands that use them."""
 
 import json
 from pathlib import Path
@@ -29,7 +29,7 @@
 
 
 class TestFromValues:
-    """Settings read from text."""
+    """Settings converted from text and checked."""
 
     def test_good_values_are_converted(self) -> None:
         checked = Settings.from_values(GOOD | {"lease_term_s": "4", "admin_port": "9"})
@@ -42,7 +42,7 @@
         assert isinstance(checked, Ok)
         assert checked.ok_value.lease_term_s == 2.5
 
-    def test_all_findings_come_at_once_with_flag_and_variable(self) -> None:
+    def test_all_findings_are_reported_with_flag_and_variable(self) -> None:
         checked = Settings.from_values(
             {"lease_term_s": "soon", "policy": "best", "callers_port": "0"},
         )
@@ -106,7 +106,7 @@
             assert "--lease-term-s (BAMBOOVALE_LEASE_TERM_S): must be" in done.stderr
             assert "--id (BAMBOOVALE_ID): is required" in done.stderr
 
-    def test_flags_go_before_the_environment(self) -> None:
+    def test_flags_override_the_environment(self) -> None:
         variables = {f"BAMBOOVALE_{name.upper()}": text for name, text in GOOD.items()}
         done = CliRunner().invoke(
             app,
@@ -119,13 +119,13 @@
 
 
 class TestPage:
-    """``docs/SETTINGS.md`` shows what the declaration says."""
+    """``docs/SETTINGS.md`` matches the declarations."""
 
-    def test_the_table_is_the_declared_one(self) -> None:
+    def test_the_table_matches_the_declarations(self) -> None:
         page = Path("docs/SETTINGS.md").read_text("utf-8")
         assert page.endswith(f"\n\n{render_table()}\n"), "run bamboovale settings-table"
 
-    def test_the_example_of_findings_is_real(self) -> None:
+    def test_the_example_matches_the_command_output(self) -> None:
         page = Path("docs/SETTINGS.md").read_text("utf-8")
         command, *lines = page.split("```")[1].splitlines()[1:]
         done = CliRunner().invoke(app, command.split()[2:])
