--- a/bamboovale/report/tables.py
+++ b/bamboovale/report/tables.py
@@ -1,4 +1,4 @@
-"""Tables of a report: outcomes, waits, reasons and engines."""
+"""Text tables of a report: outcomes, waits, lateness, reasons and engines."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Sequence
@@ -6,13 +6,13 @@
 from bamboovale.report.lines import EngineLine, Lines, RequestLine
 from bamboovale.report.timeline import time_steps
 
-MOST_REASONS = 10
+MAX_REASONS = 10
 BAR_CELLS = 20
 QUANTILES = (0.5, 0.9, 0.99)
 
 
 def render(lines: Lines, goal_s: float) -> str:
-    """Return the report as text; streams are in time up to ``goal_s`` to the first."""
+    """Return the report as text; ``goal_s`` bounds the time to the first event."""
     parts = [
         _outcomes(lines.requests),
         _stream_waits(lines.requests, goal_s),
@@ -27,7 +27,7 @@
 
 
 def _outcomes(requests: Sequence[RequestLine]) -> str:
-    """Return how requests ended, by kind."""
+    """Return request outcomes and durations by kind."""
     by_kind: dict[str, list[RequestLine]] = defaultdict(list)
     for request in requests:
         by_kind[request.kind].append(request)
@@ -42,30 +42,30 @@
 
 
 def _stream_waits(requests: Sequence[RequestLine], goal_s: float) -> str:
-    """Return what the time to the first event was spent on."""
-    begun = [r for r in requests if r.first_s is not None]
-    if not begun:
+    """Return quantiles of the time to the first event and its parts."""
+    started = [r for r in requests if r.first_s is not None]
+    if not started:
         return ""
     rows = [["streams", *_quantile_names("s")]]
-    firsts = [r.first_s for r in begun if r.first_s is not None]
+    firsts = [r.first_s for r in started if r.first_s is not None]
     rows.append(["to the first event", *_quantiles(firsts)])
-    rows.append(["waiting for a place", *_quantiles([r.place_s for r in begun])])
-    engine_s = [first - r.place_s for first, r in zip(firsts, begun, strict=True)]
+    rows.append(["waiting for a place", *_quantiles([r.place_s for r in started])])
+    engine_s = [first - r.place_s for first, r in zip(firsts, started, strict=True)]
     rows.append(["at the engine", *_quantiles(engine_s)])
-    asked = sum(r.kind == "stream" for r in requests)
+    total = sum(r.kind == "stream" for r in requests)
     in_time = sum(first <= goal_s for first in firsts)
-    late = [r for r in begun if r.first_s is not None and r.first_s > goal_s]
+    late = [r for r in started if r.first_s is not None and r.first_s > goal_s]
     by_place = sum(r.place_s > goal_s / 2 for r in late)
     return (
-        f"{_table(rows)}\n{in_time} of {asked} streams within {goal_s} s,"
-        f" {_bar(in_time / max(1, asked))}; of {len(late)} late ones {by_place} waited"
+        f"{_table(rows)}\n{in_time} of {total} streams within {goal_s} s,"
+        f" {_bar(in_time / max(1, total))}; of {len(late)} late ones {by_place} waited"
         f" over half of it for a place, {sum(r.attempts > 1 for r in late)} were tried"
         " more than once"
     )
 
 
 def _lateness(requests: Sequence[RequestLine]) -> str:
-    """Return by route how many streams were late, and by what."""
+    """Return the number of late streams and the cause, by route."""
     by_route: dict[str, list[RequestLine]] = defaultdict(list)
     for request in requests:
         if request.kind == "stream" and request.goal_s is not None:
@@ -87,7 +87,7 @@
 
 
 def _by_second(requests: Sequence[RequestLine]) -> str:
-    """Return how streams fared by the second in which they were asked for."""
+    """Return stream outcomes over time."""
     steps = time_steps(requests)
     if not steps:
         return ""
@@ -107,17 +107,17 @@
 
 
 def _reasons(requests: Sequence[RequestLine]) -> str:
-    """Return why requests were refused or failed."""
+    """Return the most frequent reasons of refusals and failures."""
     counts = Counter((r.outcome, r.reason) for r in requests if r.reason)
     if not counts:
         return ""
     rows = [["outcome", "reason", "requests"]]
-    rows += [[o, reason, str(n)] for (o, reason), n in counts.most_common(MOST_REASONS)]
+    rows += [[o, reason, str(n)] for (o, reason), n in counts.most_common(MAX_REASONS)]
     return _table(rows)
 
 
 def _engines(engines: Sequence[EngineLine]) -> str:
-    """Return how full engines were, means over their owners' lines."""
+    """Return the mean load of each engine over its log lines."""
     by_engine: dict[str, list[EngineLine]] = defaultdict(list)
     for line in engines:
         by_engine[line.engine].append(line)
--- a/bamboovale/report/timeline.py
+++ b/bamboovale/report/timeline.py
@@ -1,4 +1,4 @@
-"""How streams fared by the second in which they were asked for."""
+"""Stream outcomes over time, grouped by the time of the request."""
 
 import math
 from collections.abc import Sequence
@@ -9,17 +9,16 @@
 from bamboovale.report.lines import RequestLine
 
 STEP_S = 2.0
-"""Long enough for some tens of requests on a small deployment, short against most
-troubles."""
-MOST_STEPS = 40
-"""A longer log gets longer steps, so that the table still fits a screen."""
+"""Shortest time step."""
+MAX_STEPS = 40
+"""Longer logs use longer steps, so that the table fits a screen."""
 
 
 @dataclass(frozen=True)
 class TimeStep:
-    """Streams asked for from ``start_s`` on, in seconds since the first request.
+    """Streams requested in one step; ``start_s`` counts from the first request.
 
-    ``late_first`` and ``long_pause`` count served streams; one may be both.
+    ``late_first`` and ``long_pause`` count served streams and may overlap.
     """
 
     start_s: float
@@ -31,17 +30,17 @@
 
 
 def time_steps(requests: Sequence[RequestLine]) -> list[TimeStep]:
-    """Return the steps of a log, also those without a request in between."""
+    """Return the time steps of a log, including empty ones."""
     streams = [r for r in requests if r.kind == "stream" and r.requested_at is not None]
     if not streams:
         return []
-    asked = [r.requested_at or 0.0 for r in streams]
-    first = min(asked)
-    step_s = STEP_S * max(1, math.ceil((max(asked) - first) / STEP_S / MOST_STEPS))
+    times = [r.requested_at or 0.0 for r in streams]
+    first = min(times)
+    step_s = STEP_S * max(1, math.ceil((max(times) - first) / STEP_S / MAX_STEPS))
     groups: list[list[RequestLine]] = [
-        [] for _ in range(int((max(asked) - first) / step_s) + 1)
+        [] for _ in range(int((max(times) - first) / step_s) + 1)
     ]
-    for request, at in zip(streams, asked, strict=True):
+    for request, at in zip(streams, times, strict=True):
         groups[int((at - first) / step_s)].append(request)
     return [_step(step_s * number, group) for number, group in enumerate(groups)]
 
@@ -60,7 +59,7 @@
 
 
 def draw(requests: Sequence[RequestLine], path: Path) -> None:
-    """Draw the streams by second and what made them late; needs matplotlib."""
+    """Plot stream outcomes over time to a file; needs matplotlib."""
     steps = time_steps(requests)
     seconds = [step.start_s for step in steps]
     curves = {
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -1,4 +1,4 @@
-"""The report on requests, from log lines as entry VMs write them."""
+"""The request report, rendered from log lines of entry VMs."""
 
 import json
 from pathlib import Path
@@ -13,7 +13,7 @@
 
 
 def request(**fields: object) -> str:
-    """Return the line of one request, with the VM's name and time before it."""
+    """Return the log line of one request, prefixed with a time and VM name."""
     values = {
         "event": "request",
         "vm": "entry-1",
@@ -44,21 +44,21 @@
 
 
 class TestLines:
-    """Reading log lines."""
+    """Parsing of log lines."""
 
     def test_waits_for_several_places_add_up(self) -> None:
         asks = [{"engine": "e1", "s": 0.5}, {"engine": "e2", "s": 0.25}]
         [line] = read_lines([request(asks=asks)]).requests
         assert (line.place_s, line.first_s) == (0.75, 0.7)
 
-    def test_what_is_no_log_line_is_counted(self) -> None:
+    def test_unparsable_lines_are_counted(self) -> None:
         texts = ["Traceback", "{broken", "[1]", '{"event": "request"}', request()]
         lines = read_lines(texts)
         assert (len(lines.requests), lines.skipped) == (1, 4)
 
 
-class TestSeconds:
-    """Streams by the second in which they were asked for."""
+class TestTimeSteps:
+    """Stream outcomes over time."""
 
     BOUNDS: ClassVar = {"goal_s": 0.8, "pause_allowed_s": 0.3}
 
@@ -70,8 +70,8 @@
             request(**self.BOUNDS, time=1007.5, outcome="refused", first_s=None),
         ]
 
-    def test_lines_of_several_vms_are_laid_together_by_time_of_day(self) -> None:
-        """A user asks what happened at six seconds past; each VM's clock differs."""
+    def test_lines_of_several_vms_are_aligned_by_wall_clock(self) -> None:
+        """Guards against grouping by ``at``, which differs between VMs."""
         texts = self.lines()
         texts[1] = texts[1].replace('"at": 12.5', '"at": 90000.0')
         steps = time_steps(read_lines(texts).requests)
@@ -88,29 +88,29 @@
         assert len(steps) <= 41
         assert sum(step.streams for step in steps) == 61
 
-    def test_lines_without_time_of_day_have_no_seconds(self) -> None:
+    def test_lines_without_wall_clock_have_no_steps(self) -> None:
         assert time_steps(read_lines([request()]).requests) == []
 
-    def test_the_picture_is_drawn(self, tmp_path: Path) -> None:
-        log, picture = tmp_path / "log", tmp_path / "streams.png"
+    def test_the_plot_is_written(self, tmp_path: Path) -> None:
+        log, plot = tmp_path / "log", tmp_path / "streams.png"
         log.write_text("\n".join(self.lines()))
-        result = CliRunner().invoke(app, ["report", str(log), "--plot", str(picture)])
+        result = CliRunner().invoke(app, ["report", str(log), "--plot", str(plot)])
         assert result.exit_code == 0, result.output
-        assert picture.read_bytes().startswith(b"\x89PNG")
+        assert plot.read_bytes().startswith(b"\x89PNG")
 
 
 class TestReport:
-    """What the report says."""
+    """The rendered report."""
 
-    def test_late_streams_are_put_down_to_their_wait(self) -> None:
+    def test_late_streams_are_attributed_to_their_wait(self) -> None:
         slow = request(asks=[{"engine": "e1", "s": 1.0}], first_s=1.2)
         text = render(read_lines([request(), request(), slow, ENGINE]), 1.0)
         assert "2 of 3 streams within 1.0 s" in text
         assert "of 1 late ones 1 waited over half of it for a place" in text
         assert text.endswith("0.50          ##########..........")
 
-    def test_late_streams_are_put_down_to_first_event_or_pause(self) -> None:
-        """A user's first events are in time and yet half of its streams are late."""
+    def test_late_streams_are_attributed_to_first_event_or_pause(self) -> None:
+        """Guards against missing streams that are late only by a pause."""
         bounds = {"route": "draft", "goal_s": 0.8, "pause_allowed_s": 0.3}
         lines = [
             request(**bounds, pause_s=0.1),
@@ -125,20 +125,20 @@
         ]
         assert row[1:6] == ["4", "1", "1", "2", "1"]
 
-    def test_reasons_are_listed_most_often_first(self) -> None:
+    def test_reasons_are_sorted_by_frequency(self) -> None:
         refused = request(outcome="refused", reason="no place: late", first_s=None)
         failed = request(outcome="failed", reason="stream cut", first_s=None)
         text = render(read_lines([failed, refused, refused]), 1.0)
         assert text.index("no place: late") < text.index("stream cut")
 
-    def test_nothing_read_gives_an_empty_table(self) -> None:
+    def test_an_empty_log_gives_an_empty_table(self) -> None:
         assert render(read_lines([]), 1.0).startswith("kind")
 
 
 class TestCommand:
     """``bamboovale report``."""
 
-    def test_it_reads_files(self, tmp_path: Path) -> None:
+    def test_reads_files(self, tmp_path: Path) -> None:
         log = tmp_path / "entry-1.log"
         log.write_text(request() + "\n" + ENGINE + "\n")
         result = CliRunner().invoke(app, ["report", str(log), "--goal", "0.5"])
