--- a/bamboovale/__main__.py
+++ b/bamboovale/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of ``python -m bamboovale`` and of the built binary."""
+"""Entry point of ``python -m bamboovale`` and of the packaged binary."""
 
 from bamboovale.cli.main import app
 
--- a/bamboovale/actors.py
+++ b/bamboovale/actors.py
@@ -1,4 +1,4 @@
-"""Tasks that own their state: actors that take typed messages one at a time."""
+"""Actors: each owns its state and handles typed messages one at a time."""
 
 import concurrent.futures
 import itertools
@@ -13,23 +13,21 @@
 logger = logging.getLogger(__name__)
 
 TICK_S = 0.1
-"""The shortest interval of a tick: a fraction of the time between two renewals."""
+"""Shortest tick interval; well below the interval of lease renewals."""
 
 SLOW_TICK_S = 0.3
-"""For actors that act on messages and need the clock only to give up on something.
-At 0.1 s for all, ticks alone took a third of an idle VM's processor time."""
+"""Tick interval of actors that use the clock only for timeouts; saves CPU time."""
 
 
 @dataclass(frozen=True)
 class Tick:
-    """Time has passed."""
+    """Periodic message sent by the ticker."""
 
 
 class MessageActor(pykka.ThreadingActor):
-    """An actor that hands each message to the method registered for its type.
+    """An actor that dispatches each message to the handler registered for its type.
 
-    A handler that raises would end a pykka actor, and with it the service of an
-    engine or the reading of the log, until somebody restarts the VM. The fault is
+    An exception in a handler would stop a pykka actor until the VM restarts. It is
     logged and counted instead, and the next message is handled.
     """
 
@@ -45,7 +43,7 @@
         self._handler_by_type[message_type] = handler
 
     def on_receive(self, message: Any) -> Any:
-        """Hand a message to its handler."""
+        """Dispatch a message to its handler."""
         handler = self._handler_by_type.get(type(message))
         if handler is None:
             logger.error("%s: no handler for %s", type(self).__name__, type(message))
@@ -59,7 +57,7 @@
 
 
 class Ticker:
-    """One thread that tells all registered actors that time passes."""
+    """Thread that sends ticks to all registered actors."""
 
     def __init__(self) -> None:
         self._rounds_by_actor: dict[pykka.ActorRef, int] = {}
@@ -76,12 +74,12 @@
         self._stopped.set()
 
     def add(self, actor: pykka.ActorRef, every_s: float = SLOW_TICK_S) -> None:
-        """Tick an actor from now on, about this often."""
+        """Start to send ticks to an actor, about every ``every_s`` seconds."""
         with self._lock:
             self._rounds_by_actor[actor] = max(1, round(every_s / TICK_S))
 
     def remove(self, actor: pykka.ActorRef) -> None:
-        """Tick an actor no longer."""
+        """Stop sending ticks to an actor."""
         with self._lock:
             self._rounds_by_actor.pop(actor, None)
 
@@ -100,7 +98,7 @@
 
 
 def tell(actor: pykka.ActorRef, message: Any) -> None:
-    """Send a message; one to an actor that has stopped is dropped."""
+    """Send a message; it is dropped if the actor has stopped."""
     try:
         actor.tell(message)
     except pykka.ActorDeadError:
@@ -108,9 +106,9 @@
 
 
 def tell_and_wait(actor: pykka.ActorRef, message: Any) -> None:
-    """Send a message and wait until it was handled; a stopped actor ends the wait.
+    """Send a message and block until it is handled or the actor has stopped.
 
-    For a sender that is quicker than the actor: its messages would pile up.
+    Guards against an unbounded queue when the sender is faster than the actor.
     """
     try:
         actor.ask(message)
@@ -123,7 +121,7 @@
     future: "concurrent.futures.Future[Any]",
     make_message: Callable[[Any], Any],
 ) -> None:
-    """Tell the actor what a future brought, None if it failed."""
+    """Send a future's result to the actor as a message, None if it failed."""
 
     def forward(done: "concurrent.futures.Future[Any]") -> None:
         failed = done.cancelled() or done.exception() is not None
--- a/bamboovale/core.py
+++ b/bamboovale/core.py
@@ -1,4 +1,4 @@
-"""Starts an entry VM, runs it until it is told to stop, and stops it."""
+"""Runs an entry VM until SIGTERM or SIGINT."""
 
 import signal
 import threading
@@ -9,11 +9,11 @@
 from bamboovale.status import ExitStatus
 
 STACK_BYTES = 512 * 1024
-"""A stack for each of some hundred threads; the deepest call here needs a fraction."""
+"""Stack size of each thread; limits the memory of hundreds of threads."""
 
 
 def run_entry(settings: Settings) -> ExitStatus:
-    """Run an entry VM; return what its exit code tells the shell."""
+    """Run an entry VM until it is stopped; return the exit status."""
     threading.stack_size(STACK_BYTES)
     environment = Environment.from_settings(settings)
     stopping = _stop_signals()
@@ -33,7 +33,7 @@
 
 
 def _stop_signals() -> threading.Event:
-    """Return an event that a planned stop sets."""
+    """Return an event that is set on SIGTERM or SIGINT."""
     stopping = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stopping.set())
--- a/bamboovale/decoding.py
+++ b/bamboovale/decoding.py
@@ -1,11 +1,8 @@
-"""Strict decoding of documents into frozen types.
+"""Strict decoding of JSON documents into frozen data classes.
 
-Others write into the same topics as the endpoints: fields may be missing or of another
-type. Coerced, a text would become a number and a number a name; here every value has
-the type that the field says, or the document is refused with the place of each finding.
-
-No library: those that are strict and need no native code add to what every start of a
-VM costs, and a fleet whose VMs all start again pays that for each at once.
+Documents come from other writers and may be malformed. Values are never coerced: each
+must have the type of its field, or the document is rejected with the JSON path of each
+finding. Implemented without a library to keep the start of a VM short.
 """
 
 import dataclasses
@@ -19,29 +16,29 @@
 
 Findings = list[str]
 Reader = Callable[[Any, str, Findings], Any]
-"""Takes a value and its place; returns it as its type, or adds what is wrong."""
+"""Converts a value at a JSON path; appends a finding if the value is invalid."""
 
 _reader_by_type: dict[Any, Reader] = {}
 _name_by_field: dict[type, dict[str, str]] = {}
-_closed: set[type] = set()
+_strict_types: set[type] = set()
 
 
 class BadRecordError(ValueError):
-    """A document that is malformed; the last good view stays in force."""
+    """A document is malformed; callers keep the last valid one."""
 
 
 def set_wire_names(wanted: type, **name_by_field: str) -> None:
-    """Say which fields of a type have other names on the wire."""
+    """Set the names on the wire of fields whose names differ there."""
     _name_by_field[wanted] = name_by_field
 
 
 def forbid_unknown_fields(wanted: type) -> None:
-    """Take no other fields than the type's own: in a file that people write by hand."""
-    _closed.add(wanted)
+    """Reject unknown fields of a type; guards against typos in files edited by hand."""
+    _strict_types.add(wanted)
 
 
 def structure(document: Any, wanted: type[Decoded], what: str) -> Decoded:
-    """Read a parsed document; raises BadRecordError with ``what`` and the places."""
+    """Decode parsed JSON; raises BadRecordError with ``what`` and the findings."""
     findings: Findings = []
     try:
         result = _reader_of(wanted)(document, "$", findings)
@@ -53,7 +50,7 @@
 
 
 def decode(source: bytes, wanted: type[Decoded], what: str) -> Decoded:
-    """Read a JSON document; raises BadRecordError with ``what`` and the places."""
+    """Decode a JSON document; raises BadRecordError with ``what`` and the findings."""
     try:
         document = json.loads(source)
     except (ValueError, RecursionError) as error:
@@ -62,7 +59,7 @@
 
 
 def _reader_of(hint: Any) -> Reader:
-    """Return the reader of a type hint, built once."""
+    """Return the cached reader of a type hint."""
     reader = _reader_by_type.get(hint)
     if reader is None:
         reader = _reader_by_type[hint] = _build_reader(hint)
@@ -90,7 +87,7 @@
 
 
 def _scalar_reader(kinds: tuple[type, ...], convert: Callable[[Any], Any]) -> Reader:
-    """Take just these types; a truth value is no whole number."""
+    """Accept exactly these types; a bool is not accepted as an int."""
 
     def read(value: Any, place: str, findings: Findings) -> Any:
         if type(value) in kinds:
@@ -112,7 +109,7 @@
 
 
 def _sequence_reader(reader: Reader) -> Reader:
-    """Take a list; a text is no list of its letters."""
+    """Accept a list only; a string is not accepted as a sequence."""
 
     def read(value: Any, place: str, findings: Findings) -> Any:
         if type(value) is not list:
@@ -158,7 +155,7 @@
             return None
         before = len(findings)
         missing = sorted(required - value.keys())
-        unknown = sorted(value.keys() - known) if wanted in _closed else []
+        unknown = sorted(value.keys() - known) if wanted in _strict_types else []
         findings.extend(f"required field missing @ {place}.{name}" for name in missing)
         findings.extend(f"unknown field @ {place}.{name}" for name in unknown)
         members = {
--- a/bamboovale/environment.py
+++ b/bamboovale/environment.py
@@ -1,4 +1,4 @@
-"""What a process is given instead of globals: settings, clock, randomness, counters."""
+"""Injected dependencies of a process: settings, metrics, logger, clock, randomness."""
 
 import logging
 import os
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True)
 class Environment:
-    """The surroundings of one entry VM.
+    """The dependencies of one entry VM.
 
     ``now`` is the monotonic clock in seconds; ``wall_clock`` is for display and for
-    times that leave the process. ``incarnation`` differs at every start.
+    timestamps that leave the process. ``incarnation`` is unique to each start.
     """
 
     settings: Settings
@@ -29,7 +29,7 @@
 
     @classmethod
     def from_settings(cls, settings: Settings) -> "Environment":
-        """Return the environment of a process that has just started."""
+        """Return the environment of a newly started process."""
         return cls(
             settings=settings,
             metrics=Metrics(),
--- a/bamboovale/errors.py
+++ b/bamboovale/errors.py
@@ -1,6 +1,6 @@
-"""Refusals and errors as callers and operators receive them.
+"""Errors returned to callers and operators.
 
-Every answer other than success is a JSON body
+The body of every error response is
 ``{"error": {"code", "message", "not_run", "retry_after_s", "request_id"}}``.
 The list of codes is closed; ``docs/CALLERS.md`` explains each.
 """
@@ -55,10 +55,10 @@
 
 @dataclass(frozen=True)
 class Refusal:
-    """A final answer other than success.
+    """An error response.
 
-    ``not_run`` is a promise: true only if no endpoint ran the request.
-    ``retry_after_s`` is None where sending again cannot help.
+    ``not_run`` is true only if certainly no endpoint ran the request.
+    ``retry_after_s`` is None if a retry cannot help.
     """
 
     code: ErrorCode
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True)
 class Finding:
-    """One fault found in input, with its place (``limits.concurrency``)."""
+    """One error in input, with its location (such as ``limits.concurrency``)."""
 
     place: str
     message: str
--- a/bamboovale/http_client.py
+++ b/bamboovale/http_client.py
@@ -1,7 +1,6 @@
-"""HTTP towards the platform and orders to engines: no call is ever repeated here.
+"""HTTP client for the platform's services and for orders to engines.
 
-A client library's own retry or redirect would send a request twice behind our back
-and break "at most once", so both are off for every call that leaves an entry VM.
+Retries and redirects of the library are off, since they would break "at most once".
 """
 
 import json
@@ -16,15 +15,14 @@
 )
 
 CONNECT_TIMEOUT_S = 1.0
-"""An endpoint in the same region answers a connect within milliseconds; a second
-covers one lost SYN."""
+"""Allows for one retransmitted SYN."""
 
 POOL_SIZE = 64
-"""Kept connections to one address; about the open streams of an entry VM."""
+"""Idle connections kept for each address."""
 
 
 class HttpClient:
-    """Connection pools by address, from this VM's own source address."""
+    """Connection pools by address; connects from a fixed source address."""
 
     def __init__(self, source_address: str) -> None:
         self._source = (source_address, 0)
@@ -32,7 +30,7 @@
         self._lock = threading.Lock()
 
     def pool(self, host: str, port: int) -> urllib3.HTTPConnectionPool:
-        """Return the pool of an address, made at its first use."""
+        """Return the pool of an address, created on first use."""
         with self._lock:
             pool = self._pool_by_address.get((host, port))
             if pool is None:
@@ -59,7 +57,7 @@
         read_timeout_s: float,
         stream: bool = False,
     ) -> urllib3.BaseHTTPResponse:
-        """Send one request, once."""
+        """Send a request without retries; raises urllib3's HTTPError."""
         return self.pool(host, port).urlopen(
             method,
             path,
@@ -82,7 +80,7 @@
         headers: dict[str, str] | None = None,
         read_timeout_s: float,
     ) -> tuple[int, Any]:
-        """Send and read JSON; return the status and the parsed body."""
+        """Send and receive JSON; return the status and the parsed body."""
         body = None if value is None else json.dumps(value).encode()
         all_headers = {"Content-Type": "application/json", **(headers or {})}
         response = self.request(
@@ -100,7 +98,7 @@
             raise HTTPError(f"answer is not JSON: {error}") from error
 
     def close(self) -> None:
-        """Close every kept connection."""
+        """Close all idle connections."""
         with self._lock:
             for pool in self._pool_by_address.values():
                 pool.close()
@@ -108,5 +106,5 @@
 
 
 def never_connected(error: Exception) -> bool:
-    """Tell whether the failure proves that no byte of the request was sent."""
+    """Return whether the error proves that no byte of the request was sent."""
     return isinstance(error, NewConnectionError | ConnectTimeoutError)
--- a/bamboovale/logs.py
+++ b/bamboovale/logs.py
@@ -1,6 +1,6 @@
-"""Log lines, as plain text or as one JSON object a line.
+"""Logging configuration: plain text or one JSON object per line.
 
-Counters come first: a line is written only where something changes its state.
+Only changes of state are logged; frequent events are counted in metrics.
 """
 
 import json
@@ -15,10 +15,10 @@
 
 
 class JSONFormatter(logging.Formatter):
-    """Writes a record as one JSON object; ``extra={"fields": {...}}`` adds members."""
+    """Formats a record as a JSON object; ``extra={"fields": {...}}`` adds members."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the record as one line."""
+        """Return the record as one line of JSON."""
         members = {
             "time": self._utc(record),
             "level": record.levelname.lower(),
@@ -41,7 +41,7 @@
     log_level: str,
     stream: TextIO | None = None,
 ) -> None:
-    """Send the program's log lines to standard error, or to the stream given."""
+    """Write the program's logs to ``stream``, by default standard error."""
     handler = logging.StreamHandler(stream or sys.stderr)
     if log_format == "json":
         handler.setFormatter(JSONFormatter())
--- a/bamboovale/metrics.py
+++ b/bamboovale/metrics.py
@@ -1,8 +1,7 @@
-"""Counters of one entry VM, in a registry of their own.
+"""Prometheus metrics of one entry VM, in a registry of their own.
 
-Nothing global: two nodes in one test process count apart, and the default
-registry's collectors of the process and its garbage collector are not scraped.
-``docs/OPERATIONS.md`` explains each counter.
+A separate registry keeps VMs in one test process apart and leaves out the default
+collectors. ``docs/OPERATIONS.md`` explains each metric.
 """
 
 from collections.abc import Callable, Sequence
@@ -12,15 +11,15 @@
 
 PREFIX = "bamboovale_"
 
-# From below a token's time (56 ms) to the longest wait a caller is let in for.
+# From less than the time of one token to the longest admitted wait.
 STALL_BUCKETS_S = (0.01, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60)
 
-# From a plain call on one network (milliseconds) to an overnight job.
+# From plain calls to overnight jobs.
 REQUEST_BUCKETS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 120)
 
 
 class Metrics:
-    """The counters, gauges and histograms; other modules use them by attribute."""
+    """All counters, gauges and histograms, accessed as attributes."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry(auto_describe=False)
@@ -32,11 +31,11 @@
         self._declare_gateway()
 
     def expose(self) -> bytes:
-        """Return all of them in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
     def watch_open_read(self, topic: str, open_s: Callable[[], float | None]) -> None:
-        """Show with each scrape how long a topic's open read has had no answer."""
+        """Export the age of a topic's pending read, evaluated at each scrape."""
         gauge = self._gateway_open_read_seconds.labels(topic)
         gauge.set_function(lambda: open_s() or 0.0)
 
--- a/bamboovale/models.py
+++ b/bamboovale/models.py
@@ -1,21 +1,18 @@
-"""Words that every part shares: identifiers, classes of work and VM records.
-
-Times are seconds on the reader's monotonic clock unless a name says otherwise.
-"""
+"""Shared domain types: classes of work, VM records and adapter versions."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
 
 
 class WorkClass(StrEnum):
-    """How urgently a caller waits for the answer."""
+    """Urgency of a request."""
 
     INTERACTIVE = "interactive"
     OVERNIGHT = "overnight"
 
 
 class VMKind(StrEnum):
-    """What runs on a VM of the platform's list."""
+    """Role of a VM in the platform's VM list."""
 
     ENTRY = "entry"
     RUNNER = "runner"
@@ -50,7 +47,7 @@
 
 @dataclass(frozen=True, order=True)
 class AdapterVersion:
-    """An adapter at one version; engines know it by ``lora_name``."""
+    """A version of an adapter; engines load it as ``lora_name``."""
 
     adapter: str
     version: str
--- a/bamboovale/plotting.py
+++ b/bamboovale/plotting.py
@@ -1,25 +1,25 @@
-"""Pictures for developers, drawn without a screen; needs matplotlib."""
+"""Plots written to files without a display; needs matplotlib."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
 from pathlib import Path
 from typing import Any
 
-WIDE_INCHES = (9.0, 4.0)
+FIGURE_SIZE_INCHES = (9.0, 4.0)
 
 
 @contextmanager
 def axes_saved_to(path: Path, *, x_label: str, y_label: str) -> Iterator[Any]:
-    """Give axes to draw on and write the picture, in the format of the path's ending.
+    """Yield axes and save the figure in the format given by the path's suffix.
 
-    Raises ImportError where matplotlib is not installed: entry VMs go without it.
+    Raises ImportError if matplotlib, an optional dependency, is not installed.
     """
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    figure, axes = pyplot.subplots(figsize=WIDE_INCHES)
+    figure, axes = pyplot.subplots(figsize=FIGURE_SIZE_INCHES)
     try:
         yield axes
         axes.set_xlabel(x_label)
--- a/bamboovale/rows.py
+++ b/bamboovale/rows.py
@@ -1,7 +1,6 @@
-"""Rows of JSON, compressed one at a time into a text and read back the same way.
+"""Streaming compression of JSON rows into text, used for snapshots of tables.
 
-Snapshots of large tables are made and read like this, so that neither side ever
-holds the table a second time.
+Rows are processed one at a time, so that no second copy of a table is held in memory.
 """
 
 import base64
@@ -11,18 +10,18 @@
 from hashlib import blake2b
 from typing import Any
 
-# No table of ours comes near this; more is a fault, not a snapshot.
+# Guards against exhausting memory on a corrupt or malicious snapshot.
 MAX_ROWS_BYTES = 256 * 1024 * 1024
 READ_BYTES = 64 * 1024
 CHECKSUM_BYTES = 16
 
 
 class RowsInvalidError(Exception):
-    """The text does not hold whole rows."""
+    """The text is corrupt or truncated."""
 
 
 def pack_rows(rows: Iterable[Any]) -> str:
-    """Return the rows as a text; equal rows give equal texts."""
+    """Return the rows as base64 text; equal rows give equal texts."""
     compressor = zlib.compressobj()
     pieces = []
     for row in rows:
@@ -33,7 +32,7 @@
 
 
 def unpack_rows(text: str) -> Iterator[Any]:
-    """Return the rows of a text one by one, or raise RowsInvalidError."""
+    """Yield the rows of a text; raises RowsInvalidError."""
     try:
         for line in _lines(base64.b64decode(text, validate=True)):
             yield json.loads(line)
--- a/bamboovale/settings.py
+++ b/bamboovale/settings.py
@@ -1,8 +1,7 @@
-"""Settings of an entry VM: one declaration for flags, environment and docs.
+"""Settings of an entry VM.
 
-Each field of :class:`Settings` carries its help and its bounds. The command line
-(``bamboovale/cli/entry.py``) and ``docs/SETTINGS.md`` are made from these fields, so
-that a setting is declared once.
+Each field of :class:`Settings` declares its help and bounds. The command line options
+(``bamboovale/cli/entry.py``) and ``docs/SETTINGS.md`` are generated from these fields.
 """
 
 import ipaddress
@@ -18,7 +17,7 @@
 
 ENVIRONMENT_PREFIX = "BAMBOOVALE_"
 
-# A shorter secret can be guessed by trying.
+# Guards against secrets short enough to brute-force.
 MIN_SECRET_LENGTH = 16
 
 CLAIM_RETENTION_SLACK_S = 60.0
@@ -29,9 +28,9 @@
 
 @dataclass(frozen=True)
 class Declaration:
-    """What is said about one setting besides its type and default.
+    """Metadata of one setting besides its type and default.
 
-    ``low`` and ``high`` are the least and the greatest value allowed.
+    ``low`` and ``high`` are inclusive bounds.
     """
 
     help: str
@@ -60,7 +59,7 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """All settings of one entry VM, checked together."""
+    """All settings of one entry VM, validated together."""
 
     id: str = setting(
         "",
@@ -205,10 +204,10 @@
     def from_values(
         cls, values: Mapping[str, Any]
     ) -> "Result[Settings, list[Finding]]":
-        """Read settings from values by field name; text is converted.
+        """Parse settings from values by field name; text is converted.
 
-        A value of None, or none at all, means the default. On failure every
-        finding is returned, each with the flag and variable it concerns.
+        A missing value or None means the default. On failure all findings are
+        returned, each with the flag and variable it concerns.
         """
         findings = [
             Finding(name, "is no setting")
@@ -223,22 +222,22 @@
             if message:
                 findings.append(Finding(place_of(item.name), message))
             converted[item.name] = value
-        faulty = {finding.place for finding in findings}
+        invalid = {finding.place for finding in findings}
         settings = cls(**converted)
         findings.extend(
             Finding(place_of(rule.name), rule.message)
-            for rule in _broken_rules(settings)
-            if faulty.isdisjoint({place_of(name) for name in rule.read})
+            for rule in _rule_violations(settings)
+            if invalid.isdisjoint({place_of(name) for name in rule.read})
         )
         return Err(findings) if findings else Ok(settings)
 
     @property
     def loopback(self) -> bool:
-        """Tell whether the ports can be reached from this VM only."""
+        """Return whether the ports are bound to a loopback address."""
         return ipaddress.ip_address(self.address).is_loopback
 
     def to_json(self) -> dict[str, Any]:
-        """Return the settings for people to read, without the secrets."""
+        """Return the settings for display, with secrets masked."""
         return {
             name: "(set)" if declaration.secret and getattr(self, name) else value
             for name, declaration in DECLARATION_BY_NAME.items()
@@ -270,12 +269,12 @@
 
 
 def place_of(name: str) -> str:
-    """Return where a user finds a setting: its flag and its variable."""
+    """Return a setting's flag and variable, as shown in findings."""
     return f"{flag_of(name)} ({variable_of(name)})"
 
 
 def _convert(given: Any, kind: Any, default: Any) -> tuple[Any, str]:
-    """Return the value in its type, or the default and what is wrong."""
+    """Return the converted value, or the default and an error message."""
     if given is None:
         return default, ""
     if kind is str:
@@ -291,7 +290,7 @@
 
 
 def _check(value: Any, declaration: Declaration) -> str:
-    """Return what is wrong with a value by itself, or an empty text."""
+    """Return the error message of a single value, empty if it is valid."""
     if declaration.required and not value:
         return "is required"
     if declaration.choices and value not in declaration.choices:
@@ -326,11 +325,11 @@
 
 
 @dataclass(frozen=True)
-class _BrokenRule:
-    """A rule between settings that does not hold.
+class _RuleViolation:
+    """A violated rule between several settings.
 
-    ``read`` names the settings it looked at: where one of them is wrong by itself,
-    the rule is not reported on top.
+    ``read`` names the settings involved: if one of them is invalid by itself, the
+    rule is not reported.
     """
 
     name: str
@@ -338,39 +337,39 @@
     message: str
 
 
-def _broken_rules(settings: Settings) -> Iterator[_BrokenRule]:
-    """Yield each rule between settings that these settings break."""
+def _rule_violations(settings: Settings) -> Iterator[_RuleViolation]:
+    """Yield the violated rules between settings."""
     if settings.lease_longest_term_s < settings.lease_term_s:
-        yield _BrokenRule(
+        yield _RuleViolation(
             "lease_longest_term_s",
             ("lease_longest_term_s", "lease_term_s"),
             "must not be below lease_term_s",
         )
-    # One lost or late renewal must leave time for a second one in the same term.
+    # A lost or late renewal must leave time for another one within the term.
     if settings.lease_renew_s >= settings.lease_term_s / 2:
-        yield _BrokenRule(
+        yield _RuleViolation(
             "lease_renew_s",
             ("lease_renew_s", "lease_term_s"),
             "must be below half of lease_term_s",
         )
-    # A margin as long as the term would double each wait for a dead holder.
+    # A margin as long as the term would double the wait after a holder's crash.
     if settings.lease_margin_s >= settings.lease_term_s:
-        yield _BrokenRule(
+        yield _RuleViolation(
             "lease_margin_s",
             ("lease_margin_s", "lease_term_s"),
             "must be below lease_term_s",
         )
-    # The listener stays open until old answers of GET /v1/entries have lapsed.
+    # The listener stays open until cached responses of GET /v1/entries expire.
     if settings.drain_timeout_s < settings.entries_ttl_s:
-        yield _BrokenRule(
+        yield _RuleViolation(
             "drain_timeout_s",
             ("drain_timeout_s", "entries_ttl_s"),
             "must be at least entries_ttl_s",
         )
-    # An entry VM that starts reads a whole horizon back, or it cannot tell whether a
-    # key has run; the stream may be quiet for some seconds at either end.
+    # A starting entry VM must read claims over the whole horizon to know whether a key
+    # was used; the slack covers gaps at both ends of the stream.
     if settings.claim_horizon_s + CLAIM_RETENTION_SLACK_S > settings.log_retention_s:
-        yield _BrokenRule(
+        yield _RuleViolation(
             "claim_horizon_s",
             ("claim_horizon_s", "log_retention_s"),
             f"must be {CLAIM_RETENTION_SLACK_S:g} s below log_retention_s",
@@ -379,27 +378,27 @@
     yield from _missing_secrets(settings)
 
 
-def _port_clashes(settings: Settings) -> Iterator[_BrokenRule]:
+def _port_clashes(settings: Settings) -> Iterator[_RuleViolation]:
     name_by_port: dict[int, str] = {}
     for name in ("callers_port", "admin_port", "peers_port"):
         first = name_by_port.setdefault(getattr(settings, name), name)
         if first != name:
-            yield _BrokenRule(name, (name, first), f"must differ from {first}")
+            yield _RuleViolation(name, (name, first), f"must differ from {first}")
 
 
-def _missing_secrets(settings: Settings) -> Iterator[_BrokenRule]:
-    """Yield the secrets without which nothing beyond loopback may be let in."""
+def _missing_secrets(settings: Settings) -> Iterator[_RuleViolation]:
+    """Yield the rules on secrets that are required beyond loopback."""
     if _is_ip(settings.address) and not settings.loopback:
         for name in ("admin_token", "peer_key"):
             if not getattr(settings, name):
-                yield _BrokenRule(
+                yield _RuleViolation(
                     name,
                     (name, "address"),
                     f"is required when address is {settings.address}",
                 )
-    # One leaked secret must not open the other door as well.
+    # Guards against one leaked secret giving access to both interfaces.
     if settings.admin_token and settings.admin_token == settings.peer_key:
-        yield _BrokenRule(
+        yield _RuleViolation(
             "peer_key",
             ("peer_key", "admin_token"),
             "must differ from admin_token",
--- a/bamboovale/status.py
+++ b/bamboovale/status.py
@@ -4,7 +4,7 @@
 
 
 class ExitStatus(IntEnum):
-    """What the program's exit code tells the shell."""
+    """Exit code of the program."""
 
     SUCCESS = 0
     ERROR = 1
--- a/bamboovale/views.py
+++ b/bamboovale/views.py
@@ -1,7 +1,7 @@
-"""What the tasks of an entry VM publish for the threads that serve callers.
+"""Views that the actors of an entry VM publish for the threads that serve callers.
 
-Each view has one owner, a task that replaces it whole; everybody else only reads. The
-caller threads thus need no lock and no message to resolve an entry or pick an engine.
+Each view is replaced as a whole by the one actor that owns it. Readers therefore need
+no lock to resolve an entry or select an engine.
 """
 
 import time
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class ReceivedHint:
-    """A hint with the moment it arrived here."""
+    """A routing hint with its sender and the time of its arrival."""
 
     hint: EngineHint
     from_vm: str
@@ -34,11 +34,10 @@
 class Views:
     """The latest published views.
 
-    ``lease_by_engine`` is what the log and the peers' hints say. Whether this VM may
-    vouch for what it knows (``serving``) and whether the log is down for everybody are
-    judged now and then (``entry/readiness.py``) and hold until a moment on the clock
-    ``now``: a VM that was paused would otherwise serve an old version, by a judgement
-    from before the pause, until its task gets round to the next one.
+    ``lease_by_engine`` is taken from the log and from peers' hints. ``serving`` (this
+    VM's view is current enough to serve) and ``log_down_for_all`` are evaluated
+    periodically in ``entry/readiness.py`` and expire at a time on the clock ``now``.
+    Guards against a VM that was paused serving from an outdated view.
     """
 
     catalogue: CatalogueView | None = None
@@ -53,15 +52,15 @@
 
     @property
     def serving(self) -> bool:
-        """Tell whether this VM may take requests."""
+        """Return whether this VM may accept requests."""
         return self.now() < self.serving_until
 
     @property
     def log_down_for_all(self) -> bool:
-        """Tell whether nobody in reach reaches the log."""
+        """Return whether no reachable VM can reach the log."""
         return self.now() < self.log_down_until
 
     def holder_of(self, engine: str) -> str | None:
-        """Return the VM that holds an engine's lease, as far as is known."""
+        """Return the VM known to hold an engine's lease, None if unknown."""
         lease = self.lease_by_engine.get(engine)
         return None if lease is None else lease.holder
