--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input on each port of an entry VM: refused, nothing run and no one harmed."""
+"""Bad input on each port of an entry VM: rejected, not run, other callers served."""
 
 import json
 import threading
@@ -79,7 +79,7 @@
 
 @pytest.fixture(autouse=True)
 def check_unharmed(cluster: Cluster, entry: EntryVM) -> Iterator[None]:
-    """After each case: nothing ran, no error went unhandled, and the VM serves."""
+    """Check after each test: nothing ran, no unhandled error, and the VM serves."""
     runs = count_runs(cluster)
     printed = len(entry.process.output.read_text())
     yield
@@ -93,7 +93,7 @@
 
 
 def count_runs(cluster: Cluster) -> int:
-    """Return how many requests other than the checks' own have run."""
+    """Return the number of requests run, without those of ``check_unharmed``."""
     engine = cluster.standin_by_id["g1"].read_history()
     service = cluster.standin_by_id["s1"].read_history()
     engine_runs = [event for event in engine if event["event"] == "run_start"]
@@ -104,7 +104,7 @@
 
 
 def complete(entry: EntryVM) -> tuple[int, Any]:
-    """Send a good request and check its answer."""
+    """Send a valid request and check its response."""
     url = f"http://{entry.callers_address}{COMPLETIONS}"
     name = f"check-{time.monotonic_ns()}"
     status, answer = call_json("POST", url, GOOD, headers={"X-Request-Id": name})
@@ -159,7 +159,7 @@
             {"model": "summaries", "prompt": "p", "stream": "yes"},
         ],
     )
-    def test_is_refused_as_not_run(self, entry: EntryVM, body: Any) -> None:
+    def test_is_rejected_as_not_run(self, entry: EntryVM, body: Any) -> None:
         answer = ask(entry, request("POST", COMPLETIONS, body))
         assert answer.status in (400, 404), answer.text
         assert answer.error["not_run"] is True
@@ -168,7 +168,7 @@
         "messages",
         [None, "hi", {}, [], [1], [[]], [{"role": "user"}, "hi"]],
     )
-    def test_wrong_messages(self, entry: EntryVM, messages: Any) -> None:
+    def test_invalid_messages(self, entry: EntryVM, messages: Any) -> None:
         body = {"model": "summaries", "messages": messages}
         answer = ask(entry, request("POST", "/v1/chat/completions", body))
         assert answer.status == 400, answer.text
@@ -179,7 +179,9 @@
         answer = ask(entry, request("POST", COMPLETIONS, body))
         assert (answer.status, answer.error["code"]) == (413, "too_large")
 
-    def test_a_body_said_to_be_endless_is_not_awaited(self, entry: EntryVM) -> None:
+    def test_a_huge_content_length_is_rejected_without_waiting(
+        self, entry: EntryVM
+    ) -> None:
         data = request("POST", COMPLETIONS, b"{", {"Content-Length": str(1 << 40)})
         started = time.monotonic()
         assert ask(entry, data).status == 413
@@ -193,7 +195,7 @@
         assert answer.status in (0, 400, 413)
 
     @pytest.mark.parametrize("size", [b"zz", b"-5", b"ffffffffffffffffffff", b""])
-    def test_a_chunk_of_a_wrong_size(self, entry: EntryVM, size: bytes) -> None:
+    def test_an_invalid_chunk_size(self, entry: EntryVM, size: bytes) -> None:
         head = b"POST /v1/completions HTTP/1.1\r\nHost: x\r\n"
         head += b"Transfer-Encoding: chunked\r\n\r\n"
         answer = ask(entry, head + size + b"\r\nabc\r\n", then_end=True)
@@ -224,13 +226,13 @@
             ("X-Deadline-Ms", "0"),
         ],
     )
-    def test_a_wrong_header(self, entry: EntryVM, name: str, value: str) -> None:
+    def test_an_invalid_header(self, entry: EntryVM, name: str, value: str) -> None:
         answer = ask(entry, request("POST", COMPLETIONS, GOOD, {name: value}))
         assert answer.status == 400, answer.text
         assert answer.error["not_run"] is True
 
     @pytest.mark.parametrize("length", ["-1", "abc", "1e3", "99999999999999999999"])
-    def test_a_wrong_length(self, entry: EntryVM, length: str) -> None:
+    def test_an_invalid_content_length(self, entry: EntryVM, length: str) -> None:
         data = request("POST", COMPLETIONS, GOOD, {"Content-Length": length})
         assert ask(entry, data).status in (400, 413)
 
@@ -248,7 +250,7 @@
         ],
         ids=["zeros", "tls", "line", "version", "header", "path", "value", "many"],
     )
-    def test_what_is_no_request(self, entry: EntryVM, data: bytes) -> None:
+    def test_malformed_requests(self, entry: EntryVM, data: bytes) -> None:
         answer = ask(entry, data, then_end=True)
         assert answer.status in (0, 400, 404, 408, 413, 414, 431, 505)
 
@@ -266,7 +268,7 @@
             ("GET", "/services/../admin/v1/state", 404),
         ],
     )
-    def test_what_is_not_there(
+    def test_unknown_paths_and_methods(
         self, entry: EntryVM, method: str, path: str, status: int
     ) -> None:
         answer = ask(entry, request(method, path))
@@ -275,30 +277,27 @@
 
 
 class TestSlowCallers:
-    """Callers that begin a request and go silent, as many as there are threads.
-
-    Story: callers on a bad network, or an attacker, open as many connections as the
-    entry VM has threads and send half a head. Everyone else gets no answer until the
-    silent ones are let go.
-    """
+    """Guards against slow or silent callers occupying all caller threads."""
 
     HALF_HEAD = b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nX-A"
     HALF_BODY = request("POST", COMPLETIONS, b"{", {"Content-Length": "500"})
-    PATIENCE_S = 1.0
+    RESPONSE_TIMEOUT_S = 1.0
 
     @pytest.mark.parametrize("data", [HALF_HEAD, HALF_BODY], ids=["head", "body"])
-    def test_others_are_served_soon(self, entry: EntryVM, data: bytes) -> None:
+    def test_silent_callers_do_not_delay_others(
+        self, entry: EntryVM, data: bytes
+    ) -> None:
         address = address_of(entry, "callers")
         with silent_connections(address, 2 * CALLER_THREADS, data):
             started = time.monotonic()
             assert entry.is_ready()
             assert time.monotonic() - started < 1
-            status = get_status(entry, self.PATIENCE_S)
+            status = get_status(entry, self.RESPONSE_TIMEOUT_S)
             waited = time.monotonic() - started
-        assert (status, waited < self.PATIENCE_S) == (200, True)
+        assert (status, waited < self.RESPONSE_TIMEOUT_S) == (200, True)
 
     @pytest.mark.parametrize("data", [HALF_HEAD, HALF_BODY], ids=["head", "body"])
-    def test_a_byte_now_and_then_does_not_hold_a_thread(
+    def test_trickling_callers_do_not_occupy_threads(
         self, entry: EntryVM, data: bytes
     ) -> None:
         stop = threading.Event()
@@ -312,7 +311,7 @@
             sender = threading.Thread(target=send_slowly)
             sender.start()
             try:
-                status = get_status(entry, self.PATIENCE_S)
+                status = get_status(entry, self.RESPONSE_TIMEOUT_S)
             finally:
                 stop.set()
                 sender.join()
@@ -320,7 +319,7 @@
 
 
 def get_status(entry: EntryVM, timeout: float) -> int:
-    """Return the status of a plain call, 0 if none came in time."""
+    """Return the HTTP status of a call, 0 on timeout."""
     url = f"http://{entry.callers_address}/v1/entries"
     try:
         return call_json("GET", url, timeout_s=timeout)[0]
@@ -329,9 +328,9 @@
 
 
 class TestAdministration:
-    """The administration port: nothing wrong gets in, and no revision is made."""
+    """The administration port rejects bad input and creates no revision."""
 
-    PATIENCE_S = 1.0
+    RESPONSE_TIMEOUT_S = 1.0
 
     @pytest.fixture(autouse=True)
     def check_revision(self, entry: EntryVM) -> Iterator[None]:
@@ -353,7 +352,7 @@
             "Bearer \xe9",
         ],
     )
-    def test_wrong_credentials(self, entry: EntryVM, credentials: str) -> None:
+    def test_invalid_credentials(self, entry: EntryVM, credentials: str) -> None:
         headers = {"Authorization": credentials}
         for method, path in (
             ("GET", "/admin/v1/state"),
@@ -387,7 +386,7 @@
             {"entries": [ENTRIES[0] | {"load_seconds": float("nan")}]},
         ],
     )
-    def test_wrong_edits(self, entry: EntryVM, body: Any) -> None:
+    def test_invalid_edits(self, entry: EntryVM, body: Any) -> None:
         answer = ask_admin(entry, "POST", "/admin/v1/apply", body)
         assert answer.status in (400, 409, 412, 422), answer.text
         assert "error" in answer.text
@@ -408,21 +407,21 @@
             ("GET", "/%ff", 404),
         ],
     )
-    def test_wrong_paths(
+    def test_invalid_paths(
         self, entry: EntryVM, method: str, path: str, status: int
     ) -> None:
         assert ask_admin(entry, method, path).status == status
 
-    def test_silent_callers_do_not_hold_up_health(self, entry: EntryVM) -> None:
+    def test_silent_callers_do_not_delay_health_checks(self, entry: EntryVM) -> None:
         address = address_of(entry, "admin")
         with silent_connections(address, 16, b"GET /healthz HTTP/1.1\r\nX"):
             started = time.monotonic()
             assert entry.is_ready()
-            assert time.monotonic() - started < self.PATIENCE_S
+            assert time.monotonic() - started < self.RESPONSE_TIMEOUT_S
 
 
 class TestPeers:
-    """The peers' port lets in no stranger."""
+    """The peers' port rejects unauthenticated clients."""
 
     @pytest.fixture
     def peers_url(self, entry: EntryVM) -> str:
@@ -439,7 +438,7 @@
             b"GET / HTTP/1.1\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n\r\n",
         ],
     )
-    def test_what_is_no_handshake(self, entry: EntryVM, data: bytes) -> None:
+    def test_an_invalid_handshake(self, entry: EntryVM, data: bytes) -> None:
         answer = send(address_of(entry, "peers"), data, then_end=True)
         assert answer.status != 101
 
@@ -458,13 +457,13 @@
             b"x" * 2_000_000,
         ],
     )
-    def test_a_frame_that_is_no_message(self, peers_url: str, frame: Any) -> None:
+    def test_an_invalid_frame(self, peers_url: str, frame: Any) -> None:
         with connect(peers_url, proxy=None) as link:
             link.send(frame)
             with pytest.raises(ConnectionClosed):
                 link.recv(timeout=5)
 
-    def test_many_silent_strangers(self, entry: EntryVM, peers_url: str) -> None:
+    def test_many_silent_clients(self, entry: EntryVM, peers_url: str) -> None:
         with ExitStack() as stack:
             links = [
                 stack.enter_context(connect(peers_url, proxy=None)) for _ in range(80)
--- a/tests/test_binary.py
+++ b/tests/test_binary.py
@@ -1,4 +1,4 @@
-"""The one binary: built as it ships, and run from its archive."""
+"""The packaged binary, built as it is released."""
 
 import signal
 import subprocess
@@ -23,7 +23,7 @@
 
 
 def bare_environment(binary: Path) -> dict[str, str]:
-    """Return an environment that shows the binary no other packages."""
+    """Return an environment without other Python packages."""
     interpreter = Path(sys.base_prefix) / "bin"
     return {
         "PATH": f"{interpreter}:/usr/bin:/bin",
@@ -49,7 +49,7 @@
 
 
 def children_of(pid: int) -> list[str]:
-    """Return the child processes that any thread of a process has started."""
+    """Return the ids of all child processes of a process."""
     tasks = (PROC / str(pid) / "task").iterdir()
     return [
         child for task in tasks for child in (task / "children").read_text().split()
@@ -57,13 +57,13 @@
 
 
 def mapped_files(pid: int) -> list[str]:
-    """Return the files that a process has mapped."""
+    """Return the paths of the files mapped by a process."""
     lines = (PROC / str(pid) / "maps").read_text().splitlines()
     return [line.split()[5] for line in lines if len(line.split()) > 5]
 
 
 class TestBinary:
-    """The binary on a machine that has nothing but Python."""
+    """The binary on a machine with only Python installed."""
 
     def test_prints_its_version(self, binary: Path) -> None:
         done = subprocess.run(
@@ -75,7 +75,7 @@
         )
         assert done.stdout.strip() == "0.1.0"
 
-    def test_reports_a_wrong_option(self, binary: Path) -> None:
+    def test_rejects_an_invalid_option(self, binary: Path) -> None:
         done = subprocess.run(
             [str(binary), "standin", "log", "--listen", "x", "--appends-per-s", "y"],
             capture_output=True,
@@ -87,7 +87,7 @@
         assert "--appends-per-s" in done.stderr
         assert "Traceback" not in done.stderr
 
-    def test_serves_with_nothing_unpacked_and_no_child(
+    def test_serves_without_unpacking_files_or_child_processes(
         self, binary: Path, log_process: tuple[subprocess.Popen[str], str]
     ) -> None:
         process, address = log_process
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Pages that list what the code declares, and links between pages."""
+"""Pages that list declarations of the code, and links between pages."""
 
 import re
 from pathlib import Path
@@ -14,7 +14,7 @@
 class TestCallersPage:
     """``docs/CALLERS.md`` lists every error code with its status."""
 
-    def test_the_codes_are_the_closed_list(self) -> None:
+    def test_the_codes_match_the_declared_ones(self) -> None:
         page = Path("docs/CALLERS.md").read_text("utf-8")
         rows = re.findall(r"^\| `(\w+)` \| (\d{3}) \|", page, re.MULTILINE)
         listed = {code: int(status) for code, status in rows}
@@ -22,9 +22,9 @@
 
 
 class TestOperationsPage:
-    """``docs/OPERATIONS.md`` explains every counter."""
+    """``docs/OPERATIONS.md`` lists every metric."""
 
-    def test_the_counters_are_the_declared_ones(self) -> None:
+    def test_the_metrics_match_the_declared_ones(self) -> None:
         page = Path("docs/OPERATIONS.md").read_text("utf-8")
         listed = re.findall(r"^\| `(bamboovale_\w+)`", page, re.MULTILINE)
         families = Metrics().registry.collect()
@@ -35,7 +35,7 @@
     """Links between pages."""
 
     @pytest.mark.parametrize("page", PAGES, ids=str)
-    def test_they_lead_somewhere(self, page: Path) -> None:
+    def test_link_targets_exist(self, page: Path) -> None:
         links = re.findall(r"\]\((?!http)([^)#]+)", page.read_text("utf-8"))
         missing = [link for link in links if not (page.parent / link).exists()]
         assert missing == []
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines in both forms."""
+"""Log formats."""
 
 import io
 import json
@@ -18,8 +18,8 @@
     logger.setLevel(before[1])
 
 
-class TestJSONForm:
-    """One JSON object a line."""
+class TestJSONFormat:
+    """JSON format, one object per line."""
 
     def test_a_line_carries_its_fields(self) -> None:
         stream = io.StringIO()
@@ -44,8 +44,8 @@
         assert "ValueError" in json.loads(stream.getvalue())["exception"]
 
 
-class TestTextForm:
-    """Plain text."""
+class TestTextFormat:
+    """Plain text format."""
 
     def test_level_and_logger_are_shown(self) -> None:
         stream = io.StringIO()
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Counters of a running entry VM, as an operator scrapes them."""
+"""Metrics of a running entry VM, scraped over HTTP."""
 
 import random
 from dataclasses import replace
@@ -38,7 +38,7 @@
 
 
 def scrape(admin_url: str) -> dict[str, float]:
-    """Return each sample by its name and labels as they stand in the text."""
+    """Return the value of each sample by its name and labels in the exposition."""
     headers = {"Authorization": f"Bearer {ADMIN_TOKEN}"}
     with urllib3.PoolManager(retries=False) as http:
         text = http.request("GET", f"{admin_url}/metrics", headers=headers).data
@@ -50,7 +50,7 @@
     """``GET /metrics`` after two model requests and two calls."""
 
     def test_requests_stalls_and_times_are_counted(self, tmp_path) -> None:
-        """The first request waits for its adapter's load, the second does not."""
+        """Only the first request waits for its adapter's load."""
         config = ClusterConfig(engines=1, services=1, entries=1)
         with running_cluster(config, tmp_path) as cluster:
             (entry,) = cluster.live_entries()
@@ -79,7 +79,7 @@
 
 
 class TestEjections:
-    """An endpoint of a plain service that fails again and again."""
+    """An endpoint of a plain service that fails repeatedly."""
 
     def test_each_ejection_counts_once(self) -> None:
         settings = Settings.from_values(
@@ -90,7 +90,7 @@
                 "vms": "http://127.0.0.1:1",
             }
         ).unwrap()
-        # A fixed clock and fixed chance: an ejection that ends counts a second time.
+        # A fixed clock and seed: an ejection that ends and recurs would count twice.
         environment = replace(
             Environment.from_settings(settings),
             now=lambda: 0.0,
@@ -101,16 +101,16 @@
         views.membership = views.membership.with_changes(
             vms=[replace(row, pool="market-app") for row in rows]
         )
-        desk = DecisionFacade(environment, views, Policy.chosen())
-        desk.on_membership()
+        facade = DecisionFacade(environment, views, Policy.chosen())
+        facade.on_membership()
         for number in range(20):
-            # Left to chance, s0 may be drawn too seldom to be ejected at all.
+            # Forces enough calls to s0: random choice may not reach the threshold.
             others = {"s1", "s2", "s3"} if number < FAILURES_TO_EJECT else {"s0"}
-            endpoint = desk.choose_endpoint("market-app", f"c{number}", others)
+            endpoint = facade.choose_endpoint("market-app", f"c{number}", others)
             assert endpoint is not None
-            desk.call_ended("market-app", endpoint, f"c{number}", endpoint != "s0")
+            facade.call_ended("market-app", endpoint, f"c{number}", endpoint != "s0")
         counted = environment.metrics.registry.get_sample_value(
             "bamboovale_ejections_total"
         )
-        assert desk.dump()["ejected"] == {"market-app": ["s0"]}
+        assert facade.dump()["ejected"] == {"market-app": ["s0"]}
         assert counted == 1
