--- a/bamboovale/cli/catalogue_output.py
+++ b/bamboovale/cli/catalogue_output.py
@@ -28,8 +28,10 @@
 
 def history_lines(record: dict[str, Any]) -> list[str]:
     """Return the lines for an accepted edit: time, author, id and its changes."""
-    moment = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(record["made_at"]))
-    head = f"{record['revision']:>8}  {moment}  {record['author']}  {record['edit_id']}"
+    timestamp = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(record["made_at"]))
+    head = (
+        f"{record['revision']:>8}  {timestamp}  {record['author']}  {record['edit_id']}"
+    )
     lines = [head]
     for change in record["changes"]:
         verb = "set" if change["after"] else "deleted"
--- a/bamboovale/decoding.py
+++ b/bamboovale/decoding.py
@@ -27,21 +27,21 @@
     """A document is malformed; callers keep the last valid one."""
 
 
-def set_wire_names(wanted: type, **name_by_field: str) -> None:
+def set_wire_names(target: type, **name_by_field: str) -> None:
     """Set the names on the wire of fields whose names differ there."""
-    _name_by_field[wanted] = name_by_field
+    _name_by_field[target] = name_by_field
 
 
-def forbid_unknown_fields(wanted: type) -> None:
+def forbid_unknown_fields(target: type) -> None:
     """Reject unknown fields of a type; guards against typos in files edited by hand."""
-    _strict_types.add(wanted)
+    _strict_types.add(target)
 
 
-def structure(document: Any, wanted: type[Decoded], what: str) -> Decoded:
+def structure(document: Any, target: type[Decoded], what: str) -> Decoded:
     """Decode parsed JSON; raises BadRecordError with ``what`` and the findings."""
     findings: Findings = []
     try:
-        result = _reader_of(wanted)(document, "$", findings)
+        result = _reader_of(target)(document, "$", findings)
     except (ValueError, TypeError, RecursionError) as error:
         raise BadRecordError(f"{what}: {error}") from error
     if findings:
@@ -49,13 +49,13 @@
     return typing.cast(Decoded, result)
 
 
-def decode(source: bytes, wanted: type[Decoded], what: str) -> Decoded:
+def decode(source: bytes, target: type[Decoded], what: str) -> Decoded:
     """Decode a JSON document; raises BadRecordError with ``what`` and the findings."""
     try:
         document = json.loads(source)
     except (ValueError, RecursionError) as error:
         raise BadRecordError(f"{what}: {error}") from error
-    return structure(document, wanted, what)
+    return structure(document, target, what)
 
 
 def _reader_of(hint: Any) -> Reader:
@@ -99,8 +99,8 @@
 
 
 def _optional_reader(arguments: tuple[Any, ...]) -> Reader:
-    (wanted,) = (item for item in arguments if item is not type(None))
-    reader = _reader_of(wanted)
+    (target,) = (item for item in arguments if item is not type(None))
+    reader = _reader_of(target)
 
     def read(value: Any, place: str, findings: Findings) -> Any:
         return None if value is None else reader(value, place, findings)
@@ -134,16 +134,16 @@
     return read
 
 
-def _record_reader(wanted: type) -> Reader:
-    hints = typing.get_type_hints(wanted)
-    renames = _name_by_field.get(wanted, {})
+def _record_reader(target: type) -> Reader:
+    hints = typing.get_type_hints(target)
+    renames = _name_by_field.get(target, {})
     fields = [
         (renames.get(field.name, field.name), field.name, _reader_of(hints[field.name]))
-        for field in dataclasses.fields(wanted)
+        for field in dataclasses.fields(target)
     ]
     required = {
         renames.get(field.name, field.name)
-        for field in dataclasses.fields(wanted)
+        for field in dataclasses.fields(target)
         if field.default is dataclasses.MISSING
         and field.default_factory is dataclasses.MISSING
     }
@@ -155,7 +155,7 @@
             return None
         before = len(findings)
         missing = sorted(required - value.keys())
-        unknown = sorted(value.keys() - known) if wanted in _strict_types else []
+        unknown = sorted(value.keys() - known) if target in _strict_types else []
         findings.extend(f"required field missing @ {place}.{name}" for name in missing)
         findings.extend(f"unknown field @ {place}.{name}" for name in unknown)
         members = {
@@ -163,6 +163,6 @@
             for name, field, reader in fields
             if name in value
         }
-        return wanted(**members) if len(findings) == before else None
+        return target(**members) if len(findings) == before else None
 
     return read
--- a/bamboovale/http1/pool.py
+++ b/bamboovale/http1/pool.py
@@ -88,23 +88,23 @@
         """Return the number of idle connections."""
         return sum(len(pool.idle) for pool in self._pool_by_id.values())
 
-    def _take_idle(self, pool: EndpointPool, most_s: float) -> Connection | None:
+    def _take_idle(self, pool: EndpointPool, max_idle_s: float) -> Connection | None:
         while pool.idle:
             connection = pool.idle[0]
             if connection.closed or not self._usable(connection, KEEP_ALIVE_S * 10):
                 pool.idle.popleft()
                 connection.close()
                 continue
-            if not self._usable(connection, most_s):
+            if not self._usable(connection, max_idle_s):
                 return None
             return pool.idle.popleft()
         return None
 
-    def _usable(self, connection: Connection, most_s: float) -> bool:
+    def _usable(self, connection: Connection, max_idle_s: float) -> bool:
         sent_s = connection.keep_alive_s
         limit_s = KEEP_ALIVE_S if sent_s is None else sent_s - KEEP_ALIVE_MARGIN_S
         idle_s = self._now() - connection.idle_since
-        return not connection.closed and idle_s < min(limit_s, most_s)
+        return not connection.closed and idle_s < min(limit_s, max_idle_s)
 
 
 async def sweep_forever(pool: ConnectionPool, interval_s: float = 1.0) -> None:
--- a/bamboovale/rows.py
+++ b/bamboovale/rows.py
@@ -23,12 +23,12 @@
 def pack_rows(rows: Iterable[Any]) -> str:
     """Return the rows as base64 text; equal rows give equal texts."""
     compressor = zlib.compressobj()
-    pieces = []
+    chunks = []
     for row in rows:
         line = json.dumps(row, separators=(",", ":")) + "\n"
-        pieces.append(compressor.compress(line.encode()))
-    pieces.append(compressor.flush())
-    return base64.b64encode(b"".join(pieces)).decode()
+        chunks.append(compressor.compress(line.encode()))
+    chunks.append(compressor.flush())
+    return base64.b64encode(b"".join(chunks)).decode()
 
 
 def unpack_rows(text: str) -> Iterator[Any]:
@@ -50,11 +50,11 @@
     total = 0
     rest = b""
     for start in range(0, len(data), READ_BYTES):
-        piece = decompressor.decompress(data[start : start + READ_BYTES])
-        total += len(piece)
+        chunk = decompressor.decompress(data[start : start + READ_BYTES])
+        total += len(chunk)
         if total > MAX_ROWS_BYTES:
             raise RowsInvalidError("too large")
-        *lines, rest = (rest + piece).split(b"\n")
+        *lines, rest = (rest + chunk).split(b"\n")
         yield from lines
     if rest or not decompressor.eof:
         raise RowsInvalidError("cut short")
--- a/tests/raw_http.py
+++ b/tests/raw_http.py
@@ -34,8 +34,8 @@
             connection.sendall(data)
             if then_end:
                 connection.shutdown(socket.SHUT_WR)
-            while piece := connection.recv(1 << 16):
-                received += piece
+            while chunk := connection.recv(1 << 16):
+                received += chunk
         except OSError as error:
             # Bytes read before a reset are kept. shutdown() after a reset raises
             # ENOTCONN, which is not a ConnectionError.
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -41,12 +41,12 @@
 
 
 async def send_raw(
-    address: tuple[str, int], *pieces: bytes, pause_s: float = 0
+    address: tuple[str, int], *chunks: bytes, pause_s: float = 0
 ) -> bytes:
     """Send raw bytes and return everything received until the close."""
     reader, writer = await asyncio.open_connection(*address)
-    for piece in pieces:
-        writer.write(piece)
+    for chunk in chunks:
+        writer.write(chunk)
         await asyncio.sleep(pause_s)
     try:
         return await asyncio.wait_for(reader.read(), 3.0)
