--- a/bamboovale/cli/main.py
+++ b/bamboovale/cli/main.py
@@ -1,7 +1,6 @@
-"""The command tree: each command lives in a module of its own, imported when used.
+"""The command tree; each command's module is imported only when the command runs.
 
-An entry VM that was killed serves again once its process is up; importing what other
-commands need took half of that time (0.42 s to 0.22 s for ``gateway --check``).
+Lazy imports shorten the restart of an entry VM.
 """
 
 import importlib
@@ -15,8 +14,8 @@
 
 
 @dataclass(frozen=True)
-class CommandPlace:
-    """Where a command is: a function, or the application of a group, in a module."""
+class CommandLocation:
+    """Module and name of a command's function or of a command group's Typer app."""
 
     module: str
     name: str
@@ -31,32 +30,34 @@
         return typer.main.get_command(single)
 
 
-PLACE_BY_COMMAND = {
-    "entry": CommandPlace("bamboovale.cli.entry", "entry"),
-    "gateway": CommandPlace("bamboovale.cli.gateway", "gateway"),
-    "report": CommandPlace("bamboovale.cli.report", "report"),
-    "check-settings": CommandPlace("bamboovale.cli.entry", "check_settings"),
-    "state": CommandPlace("bamboovale.cli.entry", "state"),
-    "settings-table": CommandPlace("bamboovale.cli.settings_table", "settings_table"),
-    "experiment": CommandPlace("bamboovale.cli.experiment", "experiment"),
-    "standin": CommandPlace("bamboovale.cli.standin", "app"),
-    "catalogue": CommandPlace("bamboovale.cli.catalogue", "app"),
+LOCATION_BY_COMMAND = {
+    "entry": CommandLocation("bamboovale.cli.entry", "entry"),
+    "gateway": CommandLocation("bamboovale.cli.gateway", "gateway"),
+    "report": CommandLocation("bamboovale.cli.report", "report"),
+    "check-settings": CommandLocation("bamboovale.cli.entry", "check_settings"),
+    "state": CommandLocation("bamboovale.cli.entry", "state"),
+    "settings-table": CommandLocation(
+        "bamboovale.cli.settings_table", "settings_table"
+    ),
+    "experiment": CommandLocation("bamboovale.cli.experiment", "experiment"),
+    "standin": CommandLocation("bamboovale.cli.standin", "app"),
+    "catalogue": CommandLocation("bamboovale.cli.catalogue", "app"),
 }
 
 
 class LazyGroup(TyperGroup):
-    """Imports a command's module only when the command is asked for."""
+    """Command group that imports a command's module on first use."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Return all names, in the order of the help."""
-        return [*super().list_commands(ctx), *PLACE_BY_COMMAND]
+        """Return all command names, in the order of the help."""
+        return [*super().list_commands(ctx), *LOCATION_BY_COMMAND]
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return one command, None if there is no such."""
-        place = PLACE_BY_COMMAND.get(cmd_name)
-        if place is None:
+        """Return a command by name, None if it does not exist."""
+        location = LOCATION_BY_COMMAND.get(cmd_name)
+        if location is None:
             return super().get_command(ctx, cmd_name)
-        command = place.load()
+        command = location.load()
         command.name = cmd_name
         return command
 
@@ -67,7 +68,7 @@
     help="Serve very many LoRA adapters on a few shared model engines.",
     no_args_is_help=True,
     add_completion=False,
-    rich_markup_mode=None,  # plain help: nothing is cut off in a narrow terminal
+    rich_markup_mode=None,  # plain help, not truncated in narrow terminals
     pretty_exceptions_enable=False,  # a traceback must not show tokens in locals
 )
 
--- a/bamboovale/report/seconds.py
+++ b/bamboovale/report/timeline.py
@@ -1,4 +1,4 @@
-"""How streams fared by the second in which they were asked for."""
+"""Stream outcomes over time, grouped by the time of the request."""
 
 import math
 from collections.abc import Sequence
@@ -9,20 +9,19 @@
 from bamboovale.report.lines import RequestLine
 
 STEP_S = 2.0
-"""Long enough for some tens of requests on a small deployment, short against most
-troubles."""
-MOST_STEPS = 40
-"""A longer log gets longer steps, so that the table still fits a screen."""
+"""Shortest time step."""
+MAX_STEPS = 40
+"""Longer logs use longer steps, so that the table fits a screen."""
 
 
 @dataclass(frozen=True)
-class Step:
-    """Streams asked for from ``begins_s`` on, in seconds since the first request.
+class TimeStep:
+    """Streams requested in one step; ``start_s`` counts from the first request.
 
-    ``late_first`` and ``long_pause`` count served streams; one may be both.
+    ``late_first`` and ``long_pause`` count served streams and may overlap.
     """
 
-    begins_s: float
+    start_s: float
     streams: int
     in_time: int
     late_first: int
@@ -30,27 +29,27 @@
     unserved: int
 
 
-def steps_of(requests: Sequence[RequestLine]) -> list[Step]:
-    """Return the steps of a log, also those without a request in between."""
-    streams = [r for r in requests if r.kind == "stream" and r.asked_at is not None]
+def time_steps(requests: Sequence[RequestLine]) -> list[TimeStep]:
+    """Return the time steps of a log, including empty ones."""
+    streams = [r for r in requests if r.kind == "stream" and r.requested_at is not None]
     if not streams:
         return []
-    asked = [r.asked_at or 0.0 for r in streams]
-    first = min(asked)
-    step_s = STEP_S * max(1, math.ceil((max(asked) - first) / STEP_S / MOST_STEPS))
+    times = [r.requested_at or 0.0 for r in streams]
+    first = min(times)
+    step_s = STEP_S * max(1, math.ceil((max(times) - first) / STEP_S / MAX_STEPS))
     groups: list[list[RequestLine]] = [
-        [] for _ in range(int((max(asked) - first) / step_s) + 1)
+        [] for _ in range(int((max(times) - first) / step_s) + 1)
     ]
-    for request, at in zip(streams, asked, strict=True):
+    for request, at in zip(streams, times, strict=True):
         groups[int((at - first) / step_s)].append(request)
     return [_step(step_s * number, group) for number, group in enumerate(groups)]
 
 
-def _step(begins_s: float, group: Sequence[RequestLine]) -> Step:
+def _step(start_s: float, group: Sequence[RequestLine]) -> TimeStep:
     served = [r for r in group if r.outcome == "answered"]
     late = sum(r.is_late_by_first or r.is_late_by_pause for r in served)
-    return Step(
-        begins_s=begins_s,
+    return TimeStep(
+        start_s=start_s,
         streams=len(group),
         in_time=len(served) - late,
         late_first=sum(r.is_late_by_first for r in served),
@@ -60,9 +59,9 @@
 
 
 def draw(requests: Sequence[RequestLine], path: Path) -> None:
-    """Draw the streams by second and what made them late; needs matplotlib."""
-    steps = steps_of(requests)
-    seconds = [step.begins_s for step in steps]
+    """Plot stream outcomes over time to a file; needs matplotlib."""
+    steps = time_steps(requests)
+    seconds = [step.start_s for step in steps]
     curves = {
         "asked for": [step.streams for step in steps],
         "in time": [step.in_time for step in steps],
