--- a/bamboovale/decisions/engine_places.py
+++ b/bamboovale/decisions/engine_places.py
@@ -1,8 +1,8 @@
 """Places, queue and adapters of one engine, decided by its owner.
 
-Many entry VMs want places on one engine, and thousands of adapters share its few slots.
-If each VM ordered loads by what it knows, they would evict adapters that others need
-and overfill the engine, which crashes. A single owner decides:
+Many entry VMs request places on one engine, and thousands of adapters share its slots.
+If each VM ordered loads from its own view, they would evict adapters that others need
+and overload the engine until it crashes. A single owner decides:
 
 - a request is sent only once its adapter is loaded, since the engine refuses it
   otherwise;
@@ -35,13 +35,13 @@
 from bamboovale.decisions.prompt_pacing import PromptPacing
 
 MAX_KV_SHARE = 0.92
-"""Share of the token memory that granted requests may take before preemption."""
+"""Share of the KV cache that granted requests may reserve, to avoid preemption."""
 FIRST_TOKEN_S = 0.1
-"""From the start of a run to its first event, without the prefill."""
+"""Time from the start of a run to its first event, without the prefill."""
 VERSION_GRACE_S = 1.5
 """How long requests still start on a replaced version that is in use."""
 STOPPED_GRACE_S = 0.4
-"""Longer than the gap that a late lease renewal leaves."""
+"""Time after which stopped orders cause refusals: longer than a late lease renewal."""
 
 
 @dataclass
@@ -415,7 +415,7 @@
         """Return the predicted wait for a slot of each queued request.
 
         A request that needs a load waits for the loads queued before it, at the recent
-        slot turnover. One whose load is in progress waits for no others.
+        slot turnover. One whose load is in progress does not wait for others.
         """
         if not self._mechanisms.has(Mechanism.EARLY_REFUSAL):
             return [0.0] * len(self._queue)
--- a/bamboovale/decisions/stall_detector.py
+++ b/bamboovale/decisions/stall_detector.py
@@ -1,7 +1,7 @@
 """Detects whether the prefill of prompts stalls the streams of an engine.
 
 Engines with short steps hardly ever stall a stream beyond the allowed pause, and pacing
-their prompts only makes callers wait. On others a few prompts at once are enough.
+their prompts only makes callers wait. On others a few concurrent prompts stall them.
 
 Entry VMs report stalls that were too long. A stall counts only if the engine was busy
 with prefill for much of it, since a suspended VM or a link with packet loss stalls
@@ -15,7 +15,7 @@
 OFF_SHARE = 0.01
 """Share of stalled streams below which pacing ends."""
 MIN_STALLED = 3.0
-"""Stalls from which pacing starts: a single one may have another cause."""
+"""Number of stalls from which pacing starts: a single one may have another cause."""
 HALF_LIFE_S = 4.0
 """Half-life of the counts of streams."""
 RECHECK_AFTER_S = 6.0
@@ -30,7 +30,7 @@
 def is_pool_stalled(stalled: int, engines: int) -> bool:
     """Return whether prefill stalls the streams of a whole pool.
 
-    Engines of a pool are alike, so that each need not stall a batch of its own first.
+    Engines of a pool behave alike, so one is paced before its own streams stall.
     Guards against pacing a pool because one or two engines became slow or lost their
     runs.
     """
--- a/bamboovale/fleet/gossip.py
+++ b/bamboovale/fleet/gossip.py
@@ -3,7 +3,7 @@
 Each VM sends a bounded number of neighbours the changes since its last message to them,
 at most every ``MIN_SEND_INTERVAL_S``, and forwards the changes that it receives (an
 epidemic broadcast, as the eager push of Plumtree: Leitao et al., "Epidemic Broadcast
-Trees", 2007). Without changes a heartbeat goes out every interval. Updates lost with a
+Trees", 2007). Without changes a heartbeat is sent every interval. Updates lost with a
 broken link show as a differing digest, and are pulled from the neighbour.
 """
 
@@ -27,12 +27,12 @@
 from bamboovale.fleet.topic_changes import TopicChanges
 
 MIN_SEND_INTERVAL_S = 0.1
-"""Between two messages to one neighbour: bounds the cost of a burst of changes, and is
-the time that an update takes per hop."""
+"""Minimum time between messages to one neighbour: bounds the cost of a burst of changes
+and sets the delay of an update per hop."""
 FANOUT = 4.0
 """Factor by which each hop increases the VMs that an update has reached."""
 WATCH_RENEWAL_S = 1.0
-"""Between two messages to a VM that we watch and that does not watch us. Each renews
+"""Interval of messages to a VM that we watch and that does not watch us. Each renews
 its subscription to heartbeats."""
 WATCHER_TTL_S = 3.5
 """A VM that requested heartbeats this recently gets them: three renewals and a margin.
@@ -42,7 +42,7 @@
 updates may be in flight. Doubled after each pull while digests differ."""
 PULL_BACK_OFF_LAST_S = 8.0
 PROBE_INTERVAL_S = 3.0
-"""Between two probes of silent VMs, without which the halves of a partitioned fleet
+"""Interval of probes of silent VMs, without which the halves of a partitioned fleet
 would never rejoin."""
 MAX_ITEMS = 256
 """Changes per message; the rest follows in the next one."""
@@ -52,7 +52,7 @@
 TIMER_TOLERANCE_S = 0.001
 """Time by which a timer may fire early."""
 INTRODUCTION = -1
-"""Stands for a change number in the first message, which holds our own record."""
+"""In place of a change number, marks the first message, which has our own record."""
 
 
 class EndpointsTopic(Protocol):
@@ -183,7 +183,7 @@
         self._compare_digest(neighbour, gossip.digest, now)
 
     def _answer_introduction(self, neighbour: Neighbour, now: float) -> None:
-        """Answer a VM that sent its own record before the next interval.
+        """Reply before the next interval to a VM that sent its own record.
 
         It has reopened its link to us because we are silent to it; by the next interval
         it may suspect us.
@@ -232,10 +232,11 @@
         return True
 
     def note_store_answer(self, now: float, *, settled: bool = False) -> None:
-        """Note that the store has answered us, and whether it is settled for us.
+        """Count an answer of the store to us; ``settled``: we consider it settled.
 
-        Others are informed by an increasing count. An age would be refreshed by the
-        delay of each hop, in cycles for ever, and hide an outage where links are slow.
+        Others are informed by an increasing count. The age of an answer would be
+        refreshed by the delay of each hop, circulate indefinitely, and hide an outage
+        where links are slow.
         """
         self._store_count += 1
         self.store_answered_at = now
--- a/bamboovale/gateway/engine_owner.py
+++ b/bamboovale/gateway/engine_owner.py
@@ -33,14 +33,14 @@
 """Poll interval while nothing is expected: detects evicted adapters and orders of
 another owner. Each report is a priced call."""
 LOADING_POLL_INTERVAL_S = 0.06
-"""Poll interval while a load is about to end, for which requests are queued."""
+"""Poll interval while a load is expected to end, as queued requests wait for it."""
 MODEL_LOADING_POLL_INTERVAL_S = 0.2
 """Poll interval while a base model is loading, which takes seconds."""
 FAILED_POLL_INTERVAL_S = 0.25
 """Poll interval after a failed report: an engine restarts within seconds."""
 CONFLICT_POLL_DELAY_S = 0.12
-"""Reports lag by some 100 ms: one read sooner after a conflict would still contain the
-order number that was refused."""
+"""Longer than the lag of reports: one read sooner after a conflict would still contain
+the order number that was refused."""
 LOG_INTERVAL_S = 1.0
 """Interval of log lines on an engine's load."""
 TIMER_SLACK_S = 0.002
@@ -321,7 +321,7 @@
         return True
 
     def _is_from_same_start(self, report: EngineReport) -> bool:
-        """Return whether the report comes from the start of the engine that is owned.
+        """Return whether the report is from the engine start in the owned record.
 
         Guards against an engine that restarted before its record changed: it holds no
         adapters and has reset its order count.
--- a/bamboovale/gateway/ownership.py
+++ b/bamboovale/gateway/ownership.py
@@ -105,7 +105,7 @@
         return self._clock() - self._store_unreachable_since
 
     def take_over(self, engine_id: str, above: int) -> None:
-        """Own an engine without a live owner until the store answers again.
+        """Take over an engine without a live owner until the store answers again.
 
         Does nothing unless engines check fencing numbers: the new number is above the
         last owner's and differs from that of any other VM that takes over, so that the
@@ -124,7 +124,7 @@
     def on_fenced(self, engine_id: str, above: int) -> None:
         """Handle an engine's refusal because another VM used a higher number.
 
-        The owner that the store confirms goes on with a higher number; a VM that had
+        The owner that the store confirms continues with a higher number; a VM that had
         taken the engine over releases it.
         """
         if engine_id in self._takeover_fence:
@@ -142,9 +142,9 @@
     def may_order(self, engine_id: str) -> bool:
         """Return whether an order to an engine may be sent now.
 
-        Where engines check fencing numbers, an owner goes on after its lease while the
-        store is unreachable: if it was replaced, the engine refuses its orders. Where
-        they do not, the lease must be valid and the last owner's have expired.
+        Where engines check fencing numbers, an owner continues after its lease while
+        the store is unreachable: if it was replaced, the engine refuses its orders.
+        Where they do not, the lease must be valid and the last owner's expired.
         """
         if self._leaving:
             return False
@@ -193,7 +193,7 @@
             self._journal.write("ownership_leave_failed", error=str(error))
 
     async def set_suspended(self, suspended: bool) -> None:
-        """Release all engines while this VM is isolated, or take part again.
+        """Release all engines while this VM is isolated; rejoin the group afterwards.
 
         Guards against an owner that is cut off from its peers but not from the store
         and keeps engines that no peer can use.
--- a/bamboovale/platform/store.py
+++ b/bamboovale/platform/store.py
@@ -152,7 +152,7 @@
             async with asyncio.timeout(timeout_s):
                 status, answer = await self._exchange(method, target, body)
         except TimeoutError as error:
-            # Idle connections may be silent too, and each would cost a timeout.
+            # Idle connections may be dead too, and each would cost a timeout.
             self._pool.forget(STORE_ID)
             raise NoAnswerError(f"{target}: no answer in time") from error
         except (ConnectFailed, IncompleteResponse, OSError) as error:
