--- a/bamboovale/admin/app.py
+++ b/bamboovale/admin/app.py
@@ -1,7 +1,7 @@
 """The WSGI application of the administration port.
 
-Every edit goes through the log, and the answer is its outcome as read back from there.
-An edit whose answer is lost can be sent again with the same ``X-Edit-Id``.
+Every edit is appended to the log, and the answer is its outcome as read back from
+there. An edit whose answer is lost can be sent again with the same ``X-Edit-Id``.
 """
 
 import json
--- a/bamboovale/admin/submission.py
+++ b/bamboovale/admin/submission.py
@@ -28,7 +28,7 @@
 from bamboovale.errors import ErrorCode, Finding, Refusal
 
 SUBMIT_TIMEOUT_S = 5.0
-# Calls that wait for the log or for peers hold a thread of the server. Beyond this
+# Calls that wait for the log or for peers occupy a server thread. Beyond this
 # limit they are refused, so that state, metrics and health respond in an outage.
 MAX_WAITING_CALLS = 4
 RETRY_AFTER_S = 2.0
@@ -44,7 +44,7 @@
 
     @contextmanager
     def acquire(self) -> Iterator[bool]:
-        """Count a call for the block; yields False if the limit is reached."""
+        """Count a call during the block; yields False if the limit is reached."""
         acquired = self._semaphore.acquire(blocking=False)
         try:
             yield acquired
--- a/bamboovale/catalogue/fold.py
+++ b/bamboovale/catalogue/fold.py
@@ -127,7 +127,7 @@
     def outcome_of(self, edit_id: str, digest: str) -> EditOutcome | None:
         """Return the outcome of an edit, None if unknown or no longer remembered.
 
-        An id that was used by an edit with other contents gives a rejection, so that
+        An id that was used by an edit with other contents is rejected, so that
         the sender does not receive the outcome of another edit.
         """
         known = self.edit_history.outcome_by_edit_id.get(edit_id)
@@ -160,7 +160,7 @@
     def apply(self, offset: int, value: Any) -> EditOutcome | None:
         """Apply one record; return the outcome if it is an edit.
 
-        Records that were applied before and snapshots change nothing.
+        Records that were applied before and snapshots have no effect.
         Raises :class:`CatalogueGapError` if records are missing before this one.
         """
         if offset < self.next_offset:
@@ -179,7 +179,7 @@
         return outcome
 
     def adopt(self, other: "Catalogue") -> bool:
-        """Replace the state by another's; return False if that is older.
+        """Replace the state by another's; return False, unchanged, if that is older.
 
         An older snapshot or peer state would revert accepted edits until the log is
         read again; it is refused and counted.
--- a/bamboovale/catalogue/snapshots.py
+++ b/bamboovale/catalogue/snapshots.py
@@ -30,7 +30,7 @@
 
 
 def write_snapshot(catalogue: Catalogue) -> dict[str, Any]:
-    """Return the complete state as one value; equal states give equal values."""
+    """Return the complete state as one value; equal states yield equal values."""
     data = pack_rows(_rows(catalogue))
     return {
         "type": SNAPSHOT_TYPE,
@@ -78,7 +78,7 @@
     """Reassembles a snapshot from the log for a reader that found a gap.
 
     ``first`` is the oldest retained offset. Snapshots taken before it are ignored:
-    the records between them and ``first`` are gone. The reader adopts the snapshot
+    the records between them and ``first`` have expired. The reader adopts the snapshot
     and reads again from its offset, so that no records need to be buffered.
     """
 
--- a/bamboovale/engines/holder.py
+++ b/bamboovale/engines/holder.py
@@ -1,7 +1,7 @@
 """The lease holder of one engine: the only actor that orders loads and evictions there.
 
-:class:`EngineDispatch` makes the decisions; this actor feeds it events (permit requests
-of entry VMs, the engine's state, completed orders) and executes its actions.
+:class:`EngineDispatch` makes the decisions; this actor passes it events (permit
+requests of entry VMs, the engine's state, completed orders) and executes its actions.
 """
 
 import logging
@@ -147,7 +147,7 @@
         self._poll()
 
     def on_stop(self) -> None:
-        """Refuse the waiting requests, so that they go to the next holder."""
+        """Refuse the waiting requests, so that they are sent to the next holder."""
         for request_id, queued in self._queued_by_id.items():
             queued.reply(
                 _try_another_engine(request_id, "the lease on the engine has moved")
@@ -224,7 +224,7 @@
         return self._missed_polls >= MAX_MISSED_POLLS
 
     def _drop_queue(self) -> None:
-        """Let the requests that wait for an unreachable engine try other engines.
+        """Redirect requests that wait for an unreachable engine to other engines.
 
         Guards against long stalls: they would wait here for the engine's restart.
         """
--- a/bamboovale/engines/load_grants.py
+++ b/bamboovale/engines/load_grants.py
@@ -1,4 +1,4 @@
-"""Load grants at the weight store: schedules them or finds their scheduler."""
+"""Load grants at the weight store: schedules them or forwards their requests."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class DumpLoadGrants:
-    """Ask for the state as JSON."""
+    """Request for the state as JSON."""
 
 
 class LoadGrantActor(MessageActor):
--- a/bamboovale/entry/decision_facade.py
+++ b/bamboovale/entry/decision_facade.py
@@ -24,7 +24,7 @@
 from bamboovale.views import Views
 
 BYTES_PER_REQUEST = 64 * 1024
-"""Mean body size per open request; bounds the memory that bodies take."""
+"""Mean body size per open request; bounds the memory for bodies."""
 
 RESERVED_THREADS = 8
 """Threads kept free of admitted work, so that an overloaded VM can still refuse."""
@@ -83,7 +83,7 @@
             self._placement.on_hint(hint, self._now())
 
     def on_crash(self, notice: CrashNotice) -> bool:
-        """Record a request that ran at a crash; False if it was known."""
+        """Record a request that was running at a crash; False if it was known."""
         with self._lock:
             return self._suspects.on_notice(notice, self._now())
 
@@ -113,7 +113,7 @@
             return refusal
 
     def release(self, request_id: str) -> None:
-        """Release what an admitted request holds."""
+        """Release the place and the bytes reserved for an admitted request."""
         with self._lock:
             self._admission.on_done(request_id)
 
@@ -130,7 +130,7 @@
             return self._suspects.refusal(fingerprint, self._now())
 
     def crashed_endpoints(self, fingerprint: str) -> frozenset[str]:
-        """Return the endpoints that crashed under this request."""
+        """Return the endpoints that crashed while running this request."""
         with self._lock:
             return self._suspects.crashed_endpoints(fingerprint, self._now())
 
--- a/bamboovale/entry/permits.py
+++ b/bamboovale/entry/permits.py
@@ -43,7 +43,7 @@
     def request_permit(
         self, holder: str, request: PermitRequest, timeout_s: float
     ) -> "Future[Any]":
-        """Send the first permit request; the future gives a :class:`PermitReply`."""
+        """Send the first permit request; it resolves to a :class:`PermitReply`."""
         ...
 
     def notify(self, holder: str, message: Any) -> None:
@@ -130,7 +130,7 @@
     def release(self, held: HeldPermit, *, refused: bool = False) -> None:
         """Notify the holder that the run ended or never started.
 
-        ``refused`` says that the engine did not have the adapter, so that the holder's
+        ``refused`` means that the engine did not have the adapter, so that the holder's
         view of it is outdated. Releasing a permit twice has no effect.
         """
         permit = held.permit
