--- a/bamboovale/claims/fold.py
+++ b/bamboovale/claims/fold.py
@@ -35,7 +35,7 @@
 DEFAULT_MAX_CLAIMS = 60_000
 # One customer cannot fill the table for all others.
 MAX_SHARE_OF_CUSTOMER = 0.5
-# Released attempt ids remembered per key. A delayed copy of an older claim wins and is
+# Released attempt ids remembered per key. A delayed copy of an older claim wins but is
 # never sent: the key is blocked for a horizon, but nothing runs twice.
 MAX_RELEASED_ATTEMPTS = 8
 BODY_DIGEST_BYTES = 7
@@ -164,7 +164,7 @@
     def apply(self, offset: int, value: Any, log_time: float) -> list[ClaimOutcome]:
         """Apply one record with its log timestamp; return the outcomes of its claims.
 
-        Records that were applied before change nothing. Raises
+        Records that were applied before have no effect. Raises
         :class:`ClaimGapError` if records are missing before this one; the reader
         then continues with ``after_gap``.
         """
--- a/bamboovale/leases/actor.py
+++ b/bamboovale/leases/actor.py
@@ -42,10 +42,10 @@
 """A take or reset is retried if it was not read back within this time."""
 
 MAX_RENEWALS_IN_FLIGHT = 2
-"""While the log hangs, more renewals would only queue and be expired when sent."""
+"""While the log hangs, more renewals would queue and be outdated once they are sent."""
 
 SNAPSHOT_INTERVAL_S = 30.0
-"""Bounds how long a VM that starts after expired records waits for a snapshot."""
+"""Bounds the wait for a snapshot on a starting VM whose first records have expired."""
 
 MAX_START_BACKLOG = 5000
 """How many records before the end of the stream a starting VM begins to read: enough
@@ -263,7 +263,7 @@
         """Drop leases for which a peer's hint has a higher fencing number.
 
         Guards against a VM that cannot reach the log, does not read that its lease
-        was taken, and grants places beside the new holder.
+        was taken, and grants places in parallel to the new holder.
         """
         for engine, held in self._own.held_by_engine.items():
             received = self._views.hint_by_engine.get(engine)
@@ -407,7 +407,7 @@
             self._hand_overs.on_unknown(held)
 
     def _restore_unknown_releases(self) -> None:
-        """Restore leases with an unknown release once no VM reaches the log.
+        """Restore leases with an unknown release outcome once no VM reaches the log.
 
         If the release had reached the log before, hints of the new holder would show
         a higher fencing number.
--- a/bamboovale/leases/recovery.py
+++ b/bamboovale/leases/recovery.py
@@ -1,7 +1,7 @@
 """Recovery of the lease table by a reader whose first records have expired.
 
 It uses a snapshot of the table if the stream holds one. If not (every VM was down
-until the last snapshot expired), no reader could ever take an engine again. The
+until the last snapshot expired), no reader could ever acquire a lease again. The
 reader then waits until no lease can be valid and appends a reset.
 """
 
--- a/bamboovale/log_service/follower.py
+++ b/bamboovale/log_service/follower.py
@@ -16,7 +16,7 @@
 
 MIN_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 1.0
-"""Bounds how long a recovered log is not noticed."""
+"""Bounds the time until a recovered log is detected."""
 
 UNREACHABLE_AFTER_S = 3.0
 """Without a successful read for this long the log is unreachable from this VM; longer
@@ -48,7 +48,7 @@
 
     @property
     def recovered_at(self) -> float:
-        """Return when the log was last reachable again after an outage."""
+        """Return when the log last became reachable after an outage."""
         return self._recovered_at
 
 
--- a/bamboovale/membership/actor.py
+++ b/bamboovale/membership/actor.py
@@ -1,7 +1,7 @@
 """The actor that maintains the membership view and exchanges status with peers.
 
 Every hint interval this VM sends its status and the hints of its engines to its peers.
-In a small fleet every peer gets each status, and a peer that sends none is
+In a small fleet every peer receives each status, and a peer that sends none is
 unreachable. In a large fleet only a few peers get it in each interval, round robin;
 there a listed VM is unreachable only if it was seen before and then sent no status.
 """
--- a/bamboovale/membership/view.py
+++ b/bamboovale/membership/view.py
@@ -34,7 +34,7 @@
         return [vm for vm in self.vm_by_id.values() if vm.kind is VMKind.ENTRY]
 
     def usable_entry_vms(self) -> list[VM]:
-        """Return the entry VMs that may get callers and leases."""
+        """Return the entry VMs that may receive callers and leases."""
         return [
             vm
             for vm in self.listed_entry_vms()
