--- a/bamboovale/emulator/owner.py
+++ b/bamboovale/emulator/owner.py
@@ -66,7 +66,7 @@
         env.process(self._tick_forever())
 
     def stop(self) -> None:
-        """Stop; pending requests are answered with None and try another engine."""
+        """Stop; pending requests are answered with None and retried elsewhere."""
         self._stopped = True
         replies, self._reply_by_ask = self._reply_by_ask, {}
         for reply in replies.values():
--- a/bamboovale/emulator/simulation.py
+++ b/bamboovale/emulator/simulation.py
@@ -1,7 +1,7 @@
 """Discrete-event simulation of entry VMs, engine owners, engines and callers.
 
 The decisions are the real ones; the engines, the network and the callers are models.
-As in operation, entry VMs choose engines by engine statuses that may be out of date.
+As in production, entry VMs choose engines by engine statuses that may be out of date.
 """
 
 import itertools
@@ -138,7 +138,7 @@
                 self.env.process(self._request(kind))
 
     def _clump_size(self) -> int:
-        """Draw how many requests arrive together, geometric with mean ``clump``."""
+        """Draw the size of a group of arrivals, geometric with mean ``clump``."""
         size = 1
         while self._rng.random() < 1.0 - 1.0 / self._scenario.clump:
             size += 1
@@ -157,7 +157,7 @@
         yield from request.run(self._rng.choice(self._entries))
         if not outcome.refused:
             return
-        # A refused caller retries once, after the delay that the refusal gave.
+        # A refused caller retries once, after the delay stated in the refusal.
         yield self.env.timeout(request.retry_after_s)
         if self.env.now < outcome.asked_at + kind.deadline_s:
             outcome.refused = False
--- a/bamboovale/http1/server.py
+++ b/bamboovale/http1/server.py
@@ -14,7 +14,7 @@
 logger = logging.getLogger(__name__)
 
 READ_AHEAD_BYTES = 256 * 1024
-"""Bytes buffered from a caller that pipelines before reading is paused."""
+"""Bytes of pipelined requests that are buffered before reading is paused."""
 REASON_BY_STATUS = {
     200: b"OK",
     400: b"Bad Request",
--- a/tests/test_leases_machine.py
+++ b/tests/test_leases_machine.py
@@ -20,7 +20,7 @@
 NODES = 3
 ENGINES = ("engine-1", "engine-2")
 CLOCK_ERROR = 0.1
-# The margin covers only rounding: the rules alone must hold up to the clock error.
+# The margin covers only rounding: the rules alone must tolerate the clock error.
 TERMS = LeaseTerms(
     term_s=3.0,
     margin_s=1e-6,
@@ -60,7 +60,7 @@
 class LeaseMachine(RuleBasedStateMachine):
     """Read lag, pauses, and appends that are late, repeated or from before a restart.
 
-    Nodes have different terms, as while a setting is rolled out, and may change them.
+    Nodes have different terms, as during the rollout of a setting, and may change them.
     """
 
     @initialize(
