--- a/bamboovale/standins/platform_store.py
+++ b/bamboovale/standins/platform_store.py
@@ -112,7 +112,7 @@
         for topic in self._topic_by_name.values():
             topic.forget_history()
 
-    def deal_anew(self, group: str) -> None:
+    def reassign_partitions(self, group: str) -> None:
         """Give every partition to another member at once, without asking."""
         state = self._group_by_name[group]
         names = sorted(state.member_by_name)
