--- a/bamboovale/standins/platform_store.py
+++ b/bamboovale/standins/platform_store.py
@@ -55,7 +55,7 @@
             self.newest[key] = (offset, value)
         return offset
 
-    def forget_history(self) -> None:
+    def compact(self) -> None:
         self.first = self.end
         self.records.clear()
 
@@ -107,10 +107,10 @@
             self._changed.notify_all()
         return offset
 
-    def forget_history(self) -> None:
+    def compact(self) -> None:
         """Delete all records but the newest of each key."""
         for topic in self._topic_by_name.values():
-            topic.forget_history()
+            topic.compact()
 
     def reassign_partitions(self, group: str) -> None:
         """Give every partition to another member at once, without asking."""
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -176,7 +176,7 @@
 
     async def _store_forgets(self) -> None:
         async with self._span("store forgets", "store"):
-            self._site.store.forget_history()
+            self._site.store.compact()
             self._site.store.reassign_partitions("engine-owners")
 
     # Endpoints.
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -545,7 +545,7 @@
                 site.store.faults.mode = "busy"
                 await asyncio.sleep(1.5)
                 await site.services[0].unregister()
-                site.store.forget_history()
+                site.store.compact()
                 site.store.faults.mode = "ok"
                 await asyncio.sleep(1.5)
                 assert (await call(site.vms[0].address, "/book/1")).status == 200
