--- a/bamboovale/standins/platform_endpoints.py
+++ b/bamboovale/standins/platform_endpoints.py
@@ -229,7 +229,7 @@
         self._model = None
         self.version_by_adapter.clear()
 
-    async def start_again(self, born_ms: int, *, registers: bool = True) -> None:
+    async def restart(self, born_ms: int, *, registers: bool = True) -> None:
         """Crash and come back under the same id and address, without adapters."""
         self.crash()
         self._server = Server(self.handle)
--- a/bench/soak_site.py
+++ b/bench/soak_site.py
@@ -202,7 +202,7 @@
         """
         proxy = self.proxy_by_endpoint[runner.endpoint_id]
         runner.address = proxy.target
-        await runner.start_again(time.time_ns() // 1_000_000, registers=False)
+        await runner.restart(time.time_ns() // 1_000_000, registers=False)
         runner.address = proxy.address
         await asyncio.sleep(START_TOLD_S)
         await runner.register("ready")
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -290,7 +290,7 @@
                         answer = await call(vm.address, "/chat/1", adapter="a1")
                         assert (answer.status, answer.whole) == (200, True)
                     refused = runner.refused
-                    await runner.start_again(born_ms)
+                    await runner.restart(born_ms)
                     await eventually(lambda: _start_is_known(site, runner))
                 for vm in site.vms:
                     answer = await call(vm.address, "/chat/1", adapter="a1")
@@ -306,7 +306,7 @@
             async with running_site() as site:
                 runner = site.runners[0]
                 await call(site.vms[0].address, "/chat/1", adapter="a1")
-                await runner.start_again(1000, registers=False)
+                await runner.restart(1000, registers=False)
                 await eventually(lambda: _start_is_known(site, runner))
                 answer = await call(site.vms[0].address, "/chat/1", adapter="a1")
                 assert (answer.status, answer.whole) == (200, True)
