--- a/bamboovale/standins/platform_endpoints.py
+++ b/bamboovale/standins/platform_endpoints.py
@@ -220,7 +220,7 @@
         """Return the model and its adapters."""
         return {"slots": 8, "stage": "both", "models": self._models()}
 
-    def hold(self, adapter: str, version: int = 1) -> None:
+    def preload(self, adapter: str, version: int = 1) -> None:
         """Have an adapter loaded from the start."""
         self.version_by_adapter[adapter] = version
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -248,7 +248,7 @@
         async def test() -> None:
             async with running_site(runners=2) as site:
                 for runner in site.runners:
-                    runner.hold("a1")
+                    runner.preload("a1")
                     await runner.register("ready")
                 site.runners[0].faults.cut_after = 2
                 site.runners[1].faults.cut_after = 2
@@ -349,7 +349,7 @@
         async def test() -> None:
             async with running_site(vms=2, load_s=30.0) as site:
                 runner = site.runners[0]
-                runner.hold("a1")
+                runner.preload("a1")
                 owner = site.owned()["runner-0"]
                 other = next(item for item in site.vms if item is not owner)
                 other.vm.peering.status_exchange.on_engine_needed()
@@ -635,7 +635,7 @@
 
         async def test() -> None:
             async with running_site(vms=2) as site:
-                site.runners[0].hold("a1")
+                site.runners[0].preload("a1")
                 await site.runners[0].register("ready")
                 await _restart_all(site)
                 await eventually(lambda: all(i.vm.state.serving() for i in site.vms))
