--- a/bamboovale/standins/completions.py
+++ b/bamboovale/standins/completions.py
@@ -1,4 +1,4 @@
-"""Answers of a model engine: whole ones, streams, and the faults in them."""
+"""Completion responses of an engine: unary, streamed, and with injected faults."""
 
 import json
 import time
@@ -12,14 +12,14 @@
 from bamboovale.standins.runs import Batch, Run, RunState
 from bamboovale.standins.tokens import AnswerTokens
 
-# How often a thread that waits looks whether its caller has gone.
-LOOK_INTERVAL_S = 0.25
+# How often a waiting thread checks whether its caller has disconnected.
+POLL_INTERVAL_S = 0.25
 ANSWER_FAULTS = ("drop_answers", "truncate_answers", "wrong_answers")
 
 
 @dataclass(frozen=True)
 class AnswerFaults:
-    """What goes wrong with one answer; its run is not touched."""
+    """Faults of one answer; the run itself is not affected."""
 
     drop: bool
     truncate: bool
@@ -27,12 +27,12 @@
 
     @classmethod
     def from_faults(cls, faults: Faults) -> "AnswerFaults":
-        """Draw the faults of the next answer."""
+        """Determine which faults hit the next answer."""
         return cls(*(faults.occurs(name) for name in ANSWER_FAULTS))
 
 
 class RunReader:
-    """One caller's view of a run; the run is cancelled when its last reader leaves."""
+    """One caller that reads a run; a run without readers is cancelled."""
 
     def __init__(
         self,
@@ -51,10 +51,10 @@
             self._tokens = AnswerTokens(run.model, f"another than {run.prompt}")
 
     def answer(self, stream: bool, offset: int = 0) -> Answer:
-        """Wait for the run and return its answer; a stream begins with the run.
+        """Wait for the run and return its answer; a stream starts with the run.
 
-        The head of a stream is sent only once the run has started, so that a run
-        whose adapter went while it waited is still refused as not run.
+        The headers of a stream are sent only once the run has started, so that a run
+        whose adapter was unloaded while it waited is still refused as not run.
         """
         if not stream:
             with self._reading():
@@ -64,10 +64,10 @@
             self._wait(self._run.started)
             refusal = self._refusal()
         except BaseException:
-            self._batch.leave(self._run)
+            self._batch.remove_reader(self._run)
             raise
         if refusal is not None:
-            self._batch.leave(self._run)
+            self._batch.remove_reader(self._run)
             return refusal
         headers = {
             "Content-Type": "text/event-stream",
@@ -80,10 +80,10 @@
         try:
             yield
         finally:
-            self._batch.leave(self._run)
+            self._batch.remove_reader(self._run)
 
     def _wait(self, event: Any) -> None:
-        while not event.wait(LOOK_INTERVAL_S):
+        while not event.wait(POLL_INTERVAL_S):
             self._request.check_open()
 
     def _refusal(self) -> Answer | None:
@@ -127,19 +127,19 @@
             yield b"data: [DONE]\n\n"
 
     def _wait_for_tokens(self, sent: int) -> int:
-        """Return how many tokens there are once there are more than ``sent``."""
+        """Wait for more than ``sent`` tokens; return how many have been generated."""
         run = self._run
         while True:
             with self._batch.lock:
                 if run.produced <= sent and not run.ended.is_set():
-                    self._batch.stepped.wait(LOOK_INTERVAL_S)
+                    self._batch.stepped.wait(POLL_INTERVAL_S)
                 produced = run.produced
                 ended = run.ended.is_set()
             self._request.check_open()
             if produced > sent:
                 return produced
             if ended:
-                # Crashed, evicted or aborted: the stream breaks without its end mark.
+                # Crashed, evicted or aborted: the stream ends without its end marker.
                 raise DroppedConnectionError
 
     def _ends_early(self, ready: int) -> bool:
--- a/bamboovale/standins/engine.py
+++ b/bamboovale/standins/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of a model engine: the HTTP interface, orders and crashes."""
+"""Fake model engine: the HTTP interface, load orders and crashes."""
 
 import time
 import uuid
@@ -23,7 +23,7 @@
     "load_lag_s",
     *ANSWER_FAULTS,
 )
-# Each open request holds a thread; the rest are for orders, reports and control.
+# Each open request holds a thread; the rest serve orders, reports and control.
 THREADS = 160
 MAX_OPEN_RUNS = 128
 RESTART_S = 1.0
@@ -33,7 +33,7 @@
 
 
 class EngineStandIn:
-    """Answers completions, orders and reports of one engine."""
+    """Serves completions, orders and reports of one engine."""
 
     def __init__(
         self,
@@ -85,12 +85,12 @@
             return Answer.error(404, "not_found")
         return handler(request)
 
-    # Starts and crashes.
+    # Boots and crashes.
 
     def _boot(self) -> None:
         with self._batch.lock:
             self._boot_id = uuid.uuid4().hex
-            self._orders.forget()
+            self._orders.reset()
             self._batch.loaded[self._settings.base_model] = ""
         self._history.record("boot", boot_id=self._boot_id)
 
@@ -98,8 +98,8 @@
         restart_s = float(self._faults.get("restart_s", RESTART_S))
         with self._batch.lock:
             self._history.record("crash", boot_id=self._boot_id, restart_s=restart_s)
-            # Nothing listens before the first caller learns of the crash, else a
-            # quick one would reach the next boot ahead of its restart.
+            # Stop listening before any caller sees the crash: a fast retry would
+            # otherwise reach the next boot before the restart time has passed.
             if self.server is not None:
                 self.server.refuse(restart_s)
             self._batch.crash()
--- a/bamboovale/standins/messages.py
+++ b/bamboovale/standins/messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers of the stand-ins."""
+"""HTTP requests and answers of the stand-ins."""
 
 import errno
 import json
@@ -8,10 +8,10 @@
 
 
 class DroppedConnectionError(ConnectionResetError):
-    """The stand-in gives no answer and drops the connection."""
+    """Raised to close the connection without an answer."""
 
     def __init__(self) -> None:
-        super().__init__(errno.ECONNRESET, "dropped by a fault")
+        super().__init__(errno.ECONNRESET, "connection dropped by a stand-in fault")
 
 
 @dataclass(frozen=True)
@@ -27,10 +27,10 @@
     is_open: Callable[[], bool]
 
     def check_open(self) -> None:
-        """Raise DroppedConnectionError if the connection is gone.
+        """Raise DroppedConnectionError if the connection is closed.
 
-        A request that was read before a crash and waited for the engine's lock must
-        not act on the next boot; the crash has closed its connection.
+        Guards against a request that was read before a crash, waited for the engine's
+        lock and would take effect on the next boot.
         """
         if not self.is_open():
             raise DroppedConnectionError
@@ -43,7 +43,7 @@
         return value
 
     def number(self, name: str, default: int) -> int:
-        """Return a whole number of the query string, or raise ValueError."""
+        """Return an integer query parameter, or raise ValueError."""
         return int(self.query.get(name, default))
 
 
@@ -64,7 +64,7 @@
         message: str = "",
         headers: Mapping[str, str] | None = None,
     ) -> "Answer":
-        """Return an error in the form that engines use."""
+        """Return an error body in the format of the engines."""
         body = {"error": {"type": kind, "message": message or kind, "code": status}}
         return cls(status, body, headers or {})
 
--- a/bamboovale/standins/orders.py
+++ b/bamboovale/standins/orders.py
@@ -1,4 +1,4 @@
-"""Orders to a model engine: load and unload adapters, with fencing tokens."""
+"""Load and unload orders of a model engine, checked by fencing token."""
 
 import time
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class EngineSettings:
-    """What an engine is started with."""
+    """Start-up settings of an engine."""
 
     engine_id: str
     base_model: str
@@ -29,11 +29,11 @@
 
 
 class WeightClient:
-    """Fetches weights; without a store they are there at once."""
+    """Fetches weights; without a store URL every fetch succeeds at once."""
 
     def __init__(self, host: str, url: str) -> None:
         self._url = url.rstrip("/")
-        # The store can cut this engine off by its address.
+        # Lets the store's ``cut`` fault match this engine by source address.
         self._pool = urllib3.PoolManager(
             maxsize=8,
             retries=False,
@@ -41,7 +41,7 @@
         )
 
     def fetch(self, path: str) -> str | None:
-        """Fetch weights; return the cause of a failure."""
+        """Fetch weights; return the cause of a failure, or None."""
         if not self._url:
             return None
         try:
@@ -57,7 +57,7 @@
 
 
 class AdapterOrders:
-    """The engine's adapter slots and the highest fencing token it has seen."""
+    """The engine's adapter slots and its highest accepted fencing token."""
 
     def __init__(
         self,
@@ -74,17 +74,17 @@
         self._history = history
         self.loading: set[str] = set()
         self._highest_token = -1
-        # Counts boots, so that a load that a crash overtook has no effect.
+        # Number of boots: a load that was interrupted by a crash has no effect.
         self._boots = 0
 
-    def forget(self) -> None:
-        """Start cold: no load goes on, and no token was ever seen."""
+    def reset(self) -> None:
+        """Clear the loads in progress and the fencing token for a new boot."""
         self._boots += 1
         self._highest_token = -1
         self.loading.clear()
 
     def load(self, request: Request) -> Answer:
-        """Load an adapter into a free slot; blocks while its weights come."""
+        """Load an adapter into a free slot; block until its weights are fetched."""
         order = request.json()
         name = str(order["lora_name"])
         path = str(order.get("lora_path") or name)
@@ -139,20 +139,20 @@
             return Answer.error(400, "already_loaded")
         if name in self.loading:
             return Answer.error(409, "load_in_progress")
-        # The base model is always there and takes no slot.
+        # The base model is always loaded and takes no slot.
         used = len(self._batch.loaded) - 1 + len(self.loading)
         if used >= self._settings.max_loras:
             return Answer.error(409, "no_slot", "all adapter slots are used")
         return None
 
     def _fetch(self, name: str, path: str) -> str | None:
-        """Fetch weights; return the cause of a failure."""
+        """Fetch weights; return the cause of a failure, or None."""
         if self._faults.names_or_occurs("fail_loads", name):
             return "switched by fail_loads"
         return self._weights.fetch(path)
 
     def unload(self, request: Request) -> Answer:
-        """Unload an adapter, also under the runs that use it."""
+        """Unload an adapter; runs that use it are evicted."""
         name = str(request.json()["lora_name"])
         with self._batch.lock:
             request.check_open()
--- a/bamboovale/standins/runs.py
+++ b/bamboovale/standins/runs.py
@@ -1,4 +1,4 @@
-"""Runs of a model engine, and the batch that steps them together."""
+"""Runs of a model engine and the batch that executes them in steps."""
 
 import heapq
 import itertools
@@ -16,15 +16,15 @@
 from bamboovale.standins.tokens import AnswerTokens, count_prompt_tokens
 
 PREFILL_TOKENS_PER_STEP = 512
-RUNS_REMEMBERED = 1000
-REMEMBERED_FOR_S = 60.0
+RUNS_KEPT = 1000
+RUN_RETENTION_S = 60.0
 LOADS_KEPT = 5000
 ATTEMPTS_KEPT = 100_000
 CRASH_MARKER = "<<crash>>"
 
 
 class RunState(StrEnum):
-    """Where a run stands; all but the first two are ends."""
+    """State of a run; all but the first two are final, except for a resume."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -37,7 +37,7 @@
 
 @dataclass(eq=False)
 class Run:
-    """One request on the engine; changed only under the batch's lock."""
+    """One request on the engine; modified only under the batch's lock."""
 
     request_id: str
     model: str
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True)
 class LoadSample:
-    """How busy the batch was at a moment (monotonic seconds)."""
+    """Load of the batch at ``moment`` (monotonic seconds)."""
 
     moment: float
     running: int
@@ -69,10 +69,10 @@
 
 
 class Batch:
-    """Steps up to ``max_num_seqs`` runs at once, one token each.
+    """Runs up to ``max_num_seqs`` requests at once, one token per step each.
 
-    Runs wait in order of priority, then arrival. One thread steps; one condition
-    wakes all streams of a step, which keeps an idle engine idle.
+    Runs wait in order of priority, then arrival. One thread does all steps, and one
+    condition wakes all streams after a step, so that an idle engine uses no CPU.
     """
 
     def __init__(
@@ -103,24 +103,24 @@
         self.on_crash: Callable[[], None] = lambda: None
 
     def start(self) -> None:
-        """Start the thread that steps."""
+        """Start the thread that does the steps."""
         threading.Thread(target=self._step_forever, name="batch", daemon=True).start()
 
     # Runs.
 
     def submit(self, run: Run) -> None:
-        """Queue a run. A repeated request id is another run with its own attempt."""
+        """Queue a run; a repeated request id counts as another attempt."""
         with self.lock:
             run.attempt = self._attempts_by_id.pop(run.request_id, 0) + 1
             self._attempts_by_id[run.request_id] = run.attempt
             if len(self._attempts_by_id) > ATTEMPTS_KEPT:
                 self._attempts_by_id.popitem(last=False)
             self.readers += 1
-            self._remember(run)
+            self._store(run)
             self._enqueue(run)
 
     def resume(self, request_id: str) -> Run | None:
-        """Return a remembered run with one more reader; a cancelled one goes on."""
+        """Add a reader to a stored run and return it; a cancelled run is continued."""
         with self.lock:
             run = self._run_by_id.get(request_id)
             if run is None:
@@ -139,8 +139,8 @@
             self.readers += 1
             return run
 
-    def leave(self, run: Run) -> None:
-        """Take away a reader; a run that nobody reads any more is cancelled."""
+    def remove_reader(self, run: Run) -> None:
+        """Remove a reader; a run without readers is cancelled."""
         with self.lock:
             run.readers -= 1
             self.readers -= 1
@@ -148,7 +148,7 @@
                 self._end(run, RunState.CANCELLED)
 
     def abort(self, request_id: str) -> bool:
-        """Cancel a run for good: it cannot be resumed."""
+        """Cancel a run and discard it, so that it cannot be resumed."""
         with self.lock:
             run = self._run_by_id.pop(request_id, None)
             if run is None or run.ended.is_set():
@@ -157,13 +157,13 @@
             return True
 
     def evict(self, model: str) -> None:
-        """Break the runs of a model that was unloaded under them."""
+        """End the active runs of a model that was unloaded."""
         with self.lock:
             for run in [run for run in self.running if run.model == model]:
                 self._end(run, RunState.EVICTED)
 
     def crash(self) -> None:
-        """Lose every run, all that is loaded and the cache."""
+        """Discard all runs, loaded models and the cache."""
         with self.lock:
             for run in list(self.running):
                 self._end(run, RunState.CRASHED)
@@ -178,11 +178,11 @@
     # Reports.
 
     def waiting_count(self) -> int:
-        """Return how many runs wait."""
+        """Return the number of waiting runs."""
         return sum(run.state is RunState.WAITING for _, _, run in self._waiting)
 
     def load_as_of(self, lag_s: float) -> LoadSample:
-        """Return how busy the batch was ``lag_s`` ago."""
+        """Return the load of the batch ``lag_s`` ago."""
         moment = time.monotonic() - lag_s
         with self.lock:
             for sample in reversed(self._samples):
@@ -204,14 +204,14 @@
         self._sample()
         self._arrived.notify()
 
-    def _remember(self, run: Run) -> None:
+    def _store(self, run: Run) -> None:
         self._run_by_id.pop(run.request_id, None)
         self._run_by_id[run.request_id] = run
         now = time.monotonic()
-        while len(self._run_by_id) > RUNS_REMEMBERED:
+        while len(self._run_by_id) > RUNS_KEPT:
             self._run_by_id.popitem(last=False)
         for request_id, old in list(itertools.islice(self._run_by_id.items(), 8)):
-            if old.ended_at and now - old.ended_at > REMEMBERED_FOR_S:
+            if old.ended_at and now - old.ended_at > RUN_RETENTION_S:
                 del self._run_by_id[request_id]
 
     def _step_forever(self) -> None:
@@ -224,7 +224,7 @@
                 self._admit()
             due += self._step_s * float(self._faults.get("slow_factor", 1.0))
             time.sleep(max(0.0, due - time.monotonic()))
-            # A machine too busy to keep up slows the engine; it does not hurry after.
+            # Missed steps are not caught up: an overloaded machine slows the engine.
             due = max(due, time.monotonic() - self._step_s)
             with self.lock:
                 self._step()
@@ -237,12 +237,12 @@
             if run.model not in self.loaded:
                 self._end(run, RunState.NOT_RUN)
                 continue
-            self._begin(run)
+            self._start_run(run)
             if CRASH_MARKER in run.prompt:
                 self.on_crash()
         self._sample()
 
-    def _begin(self, run: Run) -> None:
+    def _start_run(self, run: Run) -> None:
         cached = self.cache.admit(run.model, run.prompt)
         uncached = max(run.prompt_tokens - cached, 1)
         run.prefill_steps = -(-uncached // PREFILL_TOKENS_PER_STEP) - 1
@@ -282,7 +282,7 @@
 
 
 def describe(run: Run) -> dict[str, Any]:
-    """Return the fields of a run that its events carry."""
+    """Return the fields of a run that its history events contain."""
     return {
         "request_id": run.request_id,
         "model": run.model,
