--- a/bamboovale/standins/__init__.py
+++ b/bamboovale/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of the platform and the endpoints, for tests and the demo."""
+"""Fakes of the platform services and the endpoints, for tests and the demo."""
--- a/bamboovale/standins/faults.py
+++ b/bamboovale/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a stand-in: switched while it runs, by name."""
+"""Faults of a stand-in, switched by name at run time."""
 
 import random
 import threading
@@ -9,15 +9,15 @@
 
 
 class UnknownFaultError(ValueError):
-    """A fault was named that this stand-in does not have."""
+    """Raised for a fault name that this stand-in does not support."""
 
 
 class Faults:
-    """The faults that are on; a value of None switches a fault off.
+    """The active faults; a value of None switches a fault off.
 
-    Three forms of value say how often a fault occurs: ``true`` is always, a whole
-    number is that many times from now, and a share is drawn from a generator whose
-    seed comes with the fault (``{"share": 0.2, "seed": 7}``), so that a run repeats.
+    The value says how often a fault occurs: ``true`` is always, an integer is that
+    many times from now on, and ``{"share": 0.2, "seed": 7}`` is a probability with
+    the seed of its random generator, which makes a run reproducible.
     """
 
     def __init__(self, names: Iterable[str] = ()) -> None:
@@ -28,11 +28,11 @@
         self._listeners: list[Callable[[Mapping[str, Any]], None]] = []
 
     def add_listener(self, listener: Callable[[Mapping[str, Any]], None]) -> None:
-        """Call ``listener`` with each change after it took effect."""
+        """Call ``listener`` with each change after it has taken effect."""
         self._listeners.append(listener)
 
     def merge(self, changes: Mapping[str, Any]) -> None:
-        """Switch the named faults; the others stay as they are."""
+        """Set the named faults and keep the others; raise UnknownFaultError."""
         unknown = sorted(set(changes) - self.names)
         if unknown:
             raise UnknownFaultError(
@@ -59,12 +59,12 @@
             return self._value_by_name.get(name, default)
 
     def to_json(self) -> dict[str, Any]:
-        """Return the faults that are on."""
+        """Return the active faults."""
         with self._lock:
             return dict(self._value_by_name)
 
     def occurs(self, name: str) -> bool:
-        """Decide whether a fault of any of the three forms strikes this time."""
+        """Return whether the fault occurs this time, for any form of value."""
         with self._lock:
             value = self._value_by_name.get(name)
             if value is None or isinstance(value, bool):
@@ -74,7 +74,7 @@
             return self._draw(name, value)
 
     def occurs_by_share(self, name: str) -> bool:
-        """Decide as ``occurs`` does, but read a plain number as a share."""
+        """Like ``occurs``, but treat a plain number as a probability."""
         with self._lock:
             value = self._value_by_name.get(name)
             if value is None or isinstance(value, bool):
@@ -82,7 +82,7 @@
             return self._draw(name, value)
 
     def names_or_occurs(self, name: str, subject: str) -> bool:
-        """Decide whether a fault given as a list of subjects, or as above, strikes."""
+        """Like ``occurs``, but a list of subjects affects exactly those subjects."""
         value = self.get(name)
         if isinstance(value, list):
             return subject in value
--- a/bamboovale/standins/history.py
+++ b/bamboovale/standins/history.py
@@ -1,4 +1,4 @@
-"""What a stand-in recorded, for history checking."""
+"""The event history that a stand-in records for tests to check."""
 
 import threading
 import time
@@ -6,15 +6,15 @@
 from itertools import islice
 from typing import Any
 
-# At some 300 bytes an event this bounds a stand-in to about 60 MB.
+# Bounds the memory of a long-running stand-in.
 EVENTS_KEPT = 200_000
 
 
 class History:
-    """Events in the order they happened, each with its index and wall-clock time.
+    """Events in order of occurrence, each with its index and wall-clock time.
 
-    Only the last ``EVENTS_KEPT`` are kept: a reader sees that it missed some by the
-    index of the first event it gets.
+    Only the last ``kept`` events are stored: the index of the first event returned
+    shows a reader whether it has missed any.
     """
 
     def __init__(self, kept: int = EVENTS_KEPT) -> None:
@@ -23,7 +23,7 @@
         self._next = 0
 
     def record(self, event: str, **fields: Any) -> None:
-        """Add an event."""
+        """Append an event."""
         with self._lock:
             entry = {"index": self._next, "time": time.time(), "event": event}
             entry.update(fields)
@@ -31,7 +31,7 @@
             self._next += 1
 
     def read(self, start: int = 0, limit: int | None = None) -> list[dict[str, Any]]:
-        """Return the kept events from index ``start`` on."""
+        """Return up to ``limit`` stored events from index ``start`` on."""
         with self._lock:
             first = self._next - len(self._events)
             skipped = max(start - first, 0)
--- a/bamboovale/standins/prefix_cache.py
+++ b/bamboovale/standins/prefix_cache.py
@@ -1,4 +1,4 @@
-"""An engine's cache of prompt prefixes, in blocks, and the events it publishes."""
+"""Block-based prefix cache of an engine and the events it publishes."""
 
 import hashlib
 import time
@@ -10,13 +10,13 @@
 
 TOKENS_PER_BLOCK = 16
 CHARACTERS_PER_BLOCK = TOKENS_PER_BLOCK * CHARACTERS_PER_TOKEN
-# Older events are dropped: a reader that falls behind finds a gap.
+# Older events are dropped: a slow reader sees a gap in the sequence numbers.
 EVENTS_KEPT = 1000
 
 
 @dataclass(frozen=True)
 class CacheEvent:
-    """Blocks that entered (``stored``) or left (``removed``) the cache."""
+    """Blocks added to (``stored``) or evicted from (``removed``) the cache."""
 
     seq: int
     time: float
@@ -25,7 +25,7 @@
     blocks: tuple[str, ...]
 
     def to_json(self) -> dict[str, Any]:
-        """Return the event as it is published."""
+        """Return the published form of the event."""
         return {
             "seq": self.seq,
             "event": self.kind,
@@ -35,7 +35,7 @@
 
 
 def block_hashes(model: str, prompt: str) -> list[str]:
-    """Return the hashes of a prompt's whole blocks, each chained to the one before."""
+    """Return the hashes of a prompt's full blocks, each chained to its predecessor."""
     hashes = []
     state = hashlib.blake2b(model.encode(), digest_size=8)
     whole = len(prompt) - len(prompt) % CHARACTERS_PER_BLOCK
@@ -46,7 +46,7 @@
 
 
 class PrefixCache:
-    """The least recently used blocks leave first."""
+    """A cache of prompt blocks with least-recently-used eviction."""
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
@@ -55,7 +55,7 @@
         self._next_seq = 0
 
     def admit(self, model: str, prompt: str) -> int:
-        """Store a prompt's blocks; return how many of its tokens were cached."""
+        """Store a prompt's blocks; return how many tokens were already cached."""
         if not self._capacity:
             return 0
         blocks = block_hashes(model, prompt)
@@ -84,7 +84,7 @@
         self._next_seq += 1
 
     def events(self, start: int, before: float) -> list[CacheEvent]:
-        """Return kept events from ``start`` on that are older than ``before``."""
+        """Return retained events from ``start`` on, up to monotonic time ``before``."""
         return [
             event
             for event in self._events
--- a/bamboovale/standins/server.py
+++ b/bamboovale/standins/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server beneath every stand-in: faults, history and dropped connections."""
+"""HTTP server of all stand-ins: faults, history and dropped connections."""
 
 import json
 import logging
@@ -28,8 +28,8 @@
 
 logger = logging.getLogger(__name__)
 
-# Idle connections of callers are kept this long; shorter than any test would show
-# as connections that break between two requests.
+# Longer than any pause of a test, so that callers' idle connections stay open
+# between two requests.
 IDLE_TIMEOUT_S = 120
 LISTEN_BACKLOG = 512
 DEFAULT_THREADS = 64
@@ -45,28 +45,28 @@
         server.open_connections.add(self)
 
     def close(self) -> None:
-        """Close the socket and forget the connection."""
+        """Close the socket and remove the connection from the open ones."""
         self.server.open_connections.discard(self)
         super().close()
 
     def drop(self) -> None:
-        """End the connection under whoever reads or writes it."""
+        """Shut the socket down, also while another thread reads or writes it."""
         with suppress(OSError):
             self.socket.shutdown(socket.SHUT_RDWR)
 
     def is_open(self) -> bool:
-        """Return whether the peer still holds its end open."""
+        """Return whether the peer has not closed the connection."""
         try:
             poll = select.poll()
             poll.register(self.socket, select.POLLIN)
-            # Only a readable socket is peeked at: a plain read waits its timeout.
+            # Peek only at a readable socket: otherwise recv blocks until its timeout.
             return not poll.poll(0) or self.socket.recv(1, socket.MSG_PEEK) != b""
         except (OSError, ValueError):
             return False
 
 
 class StandInGateway(Gateway):
-    """Hands one parsed request to the stand-in and writes its answer."""
+    """Passes one parsed request to the stand-in and writes its answer."""
 
     def respond(self) -> None:
         """Answer the request, or drop its connection."""
@@ -152,11 +152,11 @@
     def error_log(
         self, msg: str = "", level: int = 20, traceback: bool = False
     ) -> None:
-        """Log what cheroot reports of broken connections at debug level."""
+        """Log cheroot's reports of broken connections at debug level."""
         logger.debug(msg, exc_info=traceback)
 
     def answer(self, request: Request) -> Answer:
-        """Answer a control request, else pass it through the faults."""
+        """Answer a control request, or apply the faults and call the handler."""
         if request.path in CONTROL_PATHS:
             return self._answer_control(request)
         if self._is_cut(request.source):
@@ -164,7 +164,7 @@
         slow_ms = self.faults.get("slow_ms", 0)
         if slow_ms:
             time.sleep(slow_ms / 1000)
-        # A request that was read before a crash must not act after it.
+        # Guards against a request that was read before a crash and acts after it.
         if self._is_refusing:
             raise DroppedConnectionError
         try:
@@ -204,7 +204,7 @@
             self.refuse(float(changes["refuse_s"]))
 
     def refuse(self, seconds: float) -> None:
-        """Drop all connections and refuse new ones for ``seconds``, then listen."""
+        """Drop all connections; refuse new ones for ``seconds``, then listen again."""
         self._is_refusing = True
         self._close_listener()
         for connection in list(self.open_connections):
@@ -214,7 +214,7 @@
         timer.start()
 
     def _drop_unless_own(self, connection: Connection) -> None:
-        # The control request that switched the fault still gets its answer.
+        # The control request that set the fault still gets its answer.
         worker = threading.current_thread()
         if getattr(worker, "conn", None) is connection:
             connection.is_last_request = True
@@ -229,7 +229,7 @@
         listener.close()
 
     def _selector(self) -> Any:
-        # cheroot has no call that closes and reopens the listener alone.
+        # cheroot has no public call to close and reopen only the listener.
         return self._connections._selector  # type: ignore[attr-defined]
 
     def _open_listener(self) -> None:
@@ -245,7 +245,7 @@
         self.history.record("listening")
 
     def start_serving(self) -> str:
-        """Listen and serve on threads; return the address as HOST:PORT."""
+        """Listen and serve in threads; return the address as HOST:PORT."""
         listening = threading.Event()
         threading.Thread(
             target=self._serve,
@@ -262,8 +262,8 @@
         # fault holds for ever (``hang``) does not keep the process alive.
         try:
             self.prepare()
-            # Accepted connections inherit it; without it those still closing would
-            # keep the port from being bound again after ``refuse``.
+            # Inherited by accepted connections: one that is still closing would
+            # otherwise block binding the port again after ``refuse``.
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         finally:
             listening.set()
@@ -282,20 +282,20 @@
 
 @contextmanager
 def running(server: StandInServer) -> Iterator[str]:
-    """Serve while the block runs; yields the URL."""
+    """Serve while the block runs and yield the URL."""
     address = server.start_serving()
     try:
         yield f"http://{address}"
     finally:
-        # Stopping takes half a second, which nobody has to wait for.
+        # In the background, because stopping blocks for a while.
         threading.Thread(target=server.stop, daemon=True).start()
 
 
 def catch_termination() -> threading.Event:
     """Return an event that SIGTERM and SIGINT set.
 
-    To be called before the address is printed: whoever reads it may end the process
-    at once, and means it to end with exit code 0.
+    Call it before printing the address: a process that reads the address may send
+    SIGTERM at once and expects exit code 0.
     """
     stopping = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/bamboovale/standins/tokens.py
+++ b/bamboovale/standins/tokens.py
@@ -1,7 +1,7 @@
-"""The tokens of a stand-in's answer, so that a reader can check it whole.
+"""Deterministic tokens of the stand-ins' answers.
 
-Token i is a function of (model, prompt, i) alone: whoever knows what was asked
-knows every byte of the right answer and sees another caller's or a cut one.
+Token i depends only on (model, prompt, i), so that a test can compute the expected
+answer and detect a truncated one or one that belongs to another request.
 """
 
 import hashlib
@@ -31,12 +31,12 @@
 
 
 def answer_text(model: str, prompt: str, count: int) -> str:
-    """Return the whole answer of ``count`` tokens."""
+    """Return the full answer text of ``count`` tokens."""
     return AnswerTokens(model, prompt).text(count)
 
 
 def prompt_of_messages(messages: Iterable[Mapping[str, Any]]) -> str:
-    """Return the prompt that a chat's messages make; raises TypeError for others."""
+    """Join chat messages into one prompt; raise TypeError if one is not an object."""
     messages = list(messages)
     if not all(isinstance(message, dict) for message in messages):
         raise TypeError("each message must be a JSON object")
