--- a/bamboovale/standins/log.py
+++ b/bamboovale/standins/log.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's append-only log service."""
+"""Fake of the platform's append-only log service."""
 
 import json
 import re
@@ -16,7 +16,7 @@
 MAX_ANSWER_BYTES = 8 << 20
 MAX_RECORDS_IN_ANSWER = 1000
 MAX_WAIT_S = 60.0
-# Long polls hold a thread each: four streams of thirty entry VMs fit.
+# Each long poll holds a thread.
 THREADS = 160
 FAULTS = ("lose_answers", "retention_s", "retention_records", "appends_per_s")
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Record:
-    """One append; ``value`` is kept as the JSON text it is sent with."""
+    """One appended record; ``value`` is the JSON text as it is sent."""
 
     offset: int
     time: float
@@ -39,7 +39,7 @@
 
 @dataclass
 class Stream:
-    """The kept records of one stream and those who wait for the next."""
+    """The retained records of one stream; ``changed`` wakes waiting readers."""
 
     changed: threading.Condition
     records: deque[Record] = field(default_factory=deque)
@@ -47,11 +47,11 @@
 
     @property
     def first(self) -> int:
-        """Return the oldest kept offset, or the end of an empty stream."""
+        """Return the oldest retained offset, or the end of an empty stream."""
         return self.records[0].offset if self.records else self.end
 
     def append(self, value: bytes, now: float) -> int:
-        """Keep a value and return its offset."""
+        """Append a value and return its offset."""
         offset = self.end
         self.records.append(Record(offset, now, value))
         self.end += 1
@@ -66,7 +66,7 @@
             self.records.popleft()
 
     def read(self, start: int, limit: int) -> list[Record]:
-        """Return up to ``limit`` records from offset ``start`` on, bounded in bytes."""
+        """Return up to ``limit`` records from ``start`` on, also limited in bytes."""
         found: list[Record] = []
         size = 0
         skipped = max(start - self.first, 0)
@@ -80,17 +80,17 @@
 
 
 class TokenBucket:
-    """A rate with a burst of one second's worth."""
+    """A token bucket whose capacity is one second of its rate."""
 
     def __init__(self, now: float) -> None:
         self._tokens = float("inf")
-        self._at = now
+        self._updated_at = now
 
     def take(self, per_s: float, now: float) -> bool:
-        """Take one token if there is one."""
-        filled = self._tokens + (now - self._at) * per_s
+        """Take one token if available and return whether it was."""
+        filled = self._tokens + (now - self._updated_at) * per_s
         self._tokens = min(filled, max(per_s, 1.0))
-        self._at = now
+        self._updated_at = now
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/bamboovale/standins/relay.py
+++ b/bamboovale/standins/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay that cuts links between VMs, by source address and direction."""
+"""TCP relay that injects link faults by source address and direction."""
 
 import contextlib
 import socket
@@ -23,19 +23,19 @@
 READ_BYTES = 1 << 16
 CONNECT_TIMEOUT_S = 5.0
 BACKLOG = 128
-# Linger for no time: close answers with a reset in place of an orderly end.
+# SO_LINGER with zero timeout: close sends a reset instead of a FIN.
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class Direction(StrEnum):
-    """Which way bytes go; the names of the rules end so."""
+    """The direction of bytes; the suffix of the fault names."""
 
     TO_TARGET = "to_target"
     TO_SOURCE = "to_source"
 
 
 class Link:
-    """One relayed connection: two sockets and a thread for each direction."""
+    """One relayed connection: two sockets and a thread per direction."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         self._open_directions = 2
 
     def start(self) -> None:
-        """Start both directions."""
+        """Start the threads of both directions."""
         for direction, read_from, write_to in (
             (Direction.TO_TARGET, self._inward, self._outward),
             (Direction.TO_SOURCE, self._outward, self._inward),
@@ -65,9 +65,9 @@
             ).start()
 
     def reset(self) -> None:
-        """Break both connections with a reset."""
-        # The threads wake with an empty read. Set before, the mark keeps them from
-        # taking it for an orderly end and passing that on ahead of the reset.
+        """Reset both connections."""
+        # Set first: the threads wake with an empty read, and would otherwise forward
+        # it as an orderly shutdown before the reset.
         self._is_broken = True
         for end in (self._inward, self._outward):
             reset(end)
@@ -98,18 +98,18 @@
     def _finish_direction(self) -> None:
         self._open_directions -= 1
         if self._open_directions == 0:
-            self._relay.forget(self)
+            self._relay.remove_link(self)
             self._inward.close()
             self._outward.close()
 
 
 class Relay:
-    """Accepts connections and passes their bytes on, as far as the rules let it.
+    """Accepts connections and forwards their bytes subject to the active rules.
 
-    ``drop_*`` loses bytes without a sign, as a cut link does. A TCP stream cannot go
-    on with a gap, so a link that lost bytes is reset once its rule is lifted.
-    ``hold_*`` keeps bytes back and passes them on later, as a short cut does when
-    TCP sends again. ``refuse`` resets connections, old and new.
+    ``drop_*`` silently discards bytes, like a network partition. A TCP stream cannot
+    continue with a gap, so a link that lost bytes is reset once its rule is removed.
+    ``hold_*`` delays bytes until the rule is removed, like a short partition that
+    TCP retransmission bridges. ``refuse`` resets existing and new connections.
     """
 
     def __init__(
@@ -128,23 +128,23 @@
         faults.add_listener(self._apply_faults)
 
     def start(self) -> str:
-        """Accept connections on a thread; return the address as HOST:PORT."""
+        """Accept connections in a thread; return the address as HOST:PORT."""
         threading.Thread(target=self._accept, name="accept", daemon=True).start()
         host, port = self._listener.getsockname()
         return f"{host}:{port}"
 
     def has_rule(self, rule: str, source: str) -> bool:
-        """Return whether a rule names this source address."""
+        """Return whether a rule applies to this source address."""
         return source in self._faults.get(rule, ())
 
     def wait_while_held(self, source: str, direction: Direction) -> None:
-        """Block while the rules hold this direction of the source's links."""
+        """Block while a ``hold_*`` rule applies to this source and direction."""
         with self._changed:
             while self.has_rule(f"hold_{direction}", source):
                 self._changed.wait()
 
-    def forget(self, link: Link) -> None:
-        """Drop a link that has ended."""
+    def remove_link(self, link: Link) -> None:
+        """Remove a closed link."""
         with self._changed:
             self._links.discard(link)
 
@@ -161,13 +161,13 @@
             ).start()
 
     def _connect(self, source: str, inward: socket.socket) -> None:
-        # The target sees the caller's own address, where the loopback lets us.
-        own = (source, 0) if source.startswith("127.") else None
+        # On loopback, keep the caller's address as the source that the target sees.
+        source_address = (source, 0) if source.startswith("127.") else None
         try:
             outward = socket.create_connection(
                 self._target,
                 timeout=CONNECT_TIMEOUT_S,
-                source_address=own,
+                source_address=source_address,
             )
         except OSError as error:
             self._history.record("unreachable", source=source, cause=str(error))
@@ -198,7 +198,7 @@
 
 
 def reset(end: socket.socket) -> None:
-    """Close a connection with a reset; a thread that reads it wakes up."""
+    """Close a connection with a reset and wake up a thread that reads it."""
     with contextlib.suppress(OSError):
         end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         end.shutdown(socket.SHUT_RD)
@@ -210,7 +210,7 @@
     target: str,
     control: str,
 ) -> tuple[Relay, StandInServer]:
-    """Return a relay and the server of its rules; start both."""
+    """Return a relay and the control server of its rules, both not yet started."""
     faults = Faults(FAULTS)
     history = History()
     relay = Relay(listen, target, faults, history)
@@ -219,5 +219,5 @@
 
 
 def answer_nothing(request: Request) -> Answer:
-    """Answer what is no control request."""
+    """Return 404: the control server has no other paths."""
     return Answer.error(404, "not_found")
--- a/bamboovale/standins/service.py
+++ b/bamboovale/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in of a plain service: echoes each request and records each run."""
+"""Fake of a plain service that echoes requests and records runs."""
 
 import hashlib
 import time
@@ -16,7 +16,7 @@
 
 
 class ServiceStandIn:
-    """Runs every method and path after its latency."""
+    """Accepts every method and path and answers after a fixed latency."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self._history = history
 
     def answer(self, request: Request) -> Answer:
-        """Run a request; the faults say what its caller gets to see of it."""
+        """Run a request; faults may change or drop its answer."""
         if self._faults.occurs("drop_before_run"):
             raise DroppedConnectionError
         if self._faults.occurs_by_share("refuse_share"):
--- a/bamboovale/standins/vms.py
+++ b/bamboovale/standins/vms.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's VM list: what it shows lags behind what is so."""
+"""Fake of the platform's VM list; changes become visible after a lag."""
 
 import os
 import threading
@@ -14,25 +14,25 @@
 from bamboovale.standins.server import StandInServer
 
 FAULTS = ("lag_s", "stale")
-# Lists older than the longest lag are never shown again.
+# Bounds the list history; older lists than the lag are not returned.
 LISTS_KEPT = 10_000
 
 
 @dataclass(frozen=True)
 class VMList:
-    """The list as it was from ``time`` on (monotonic seconds)."""
+    """The list as of ``time`` (monotonic seconds)."""
 
     version: int
     time: float
     row_by_id: dict[str, dict[str, Any]]
 
     def to_json(self) -> dict[str, Any]:
-        """Return the list as it is shown."""
+        """Return the list as the VM list service answers it."""
         return {"version": self.version, "vms": list(self.row_by_id.values())}
 
 
 def normalize_row(vm_id: str, row: dict[str, Any]) -> dict[str, Any]:
-    """Fill in a row's defaults, or raise ValueError for a wrong kind or state."""
+    """Fill in a row's defaults; raise ValueError for an unknown kind or state."""
     return {
         "id": vm_id,
         "kind": VMKind(row["kind"]).value,
@@ -46,11 +46,11 @@
 
 
 class VMListStandIn:
-    """The list, its past and what is shown of it."""
+    """The VM list and its history, answered with a lag or frozen."""
 
     def __init__(self, lag_s: float, faults: Faults, history: History) -> None:
         self._lag_s = lag_s
-        self._start = os.urandom(4).hex()  # a version counts from its own start
+        self._start = os.urandom(4).hex()  # makes the ETags of a restarted list differ
         self._faults = faults
         self._history = history
         self._lock = threading.Lock()
@@ -59,7 +59,7 @@
         faults.add_listener(self._freeze)
 
     def answer(self, request: Request) -> Answer:
-        """Show the list, or change a row."""
+        """Return the list, or change a row."""
         if request.path == "/vms" and request.method == "GET":
             return self._show(request)
         prefix, _, vm_id = request.path.rpartition("/")
@@ -73,7 +73,7 @@
         return Answer.error(405, "method_not_allowed")
 
     def _show(self, request: Request) -> Answer:
-        """Show the list; nothing of it to a reader who has this version."""
+        """Return the list, or 304 if the caller has this version."""
         shown = self._shown()
         etag = f'"{self._start}-{shown.version}"'
         headers = {"ETag": etag}
--- a/bamboovale/standins/weights.py
+++ b/bamboovale/standins/weights.py
@@ -1,4 +1,4 @@
-"""Stand-in of the weight store: a rate of loads, and a bandwidth that they share."""
+"""Fake of the weight store: limited load rate and shared bandwidth."""
 
 import math
 import threading
@@ -15,23 +15,23 @@
 
 
 class Bandwidth:
-    """Transfers that share the bandwidth of ``full_speed`` transfers.
+    """Bandwidth shared by concurrent transfers.
 
-    Up to ``full_speed`` at once run at full speed; with more, all slow down alike.
+    Up to ``full_speed`` transfers run at full speed; with more, all slow down alike.
     """
 
     def __init__(self, full_speed: int) -> None:
         self._full_speed = full_speed
         self._changed = threading.Condition()
-        # Seconds at full speed that each transfer still needs.
-        self._left_by_id: dict[int, float] = {}
-        self._at = time.monotonic()
+        # Remaining seconds of each transfer at full speed.
+        self._remaining_by_id: dict[int, float] = {}
+        self._updated_at = time.monotonic()
         self._next_id = 0
 
     @property
     def active(self) -> int:
-        """Return how many transfers run."""
-        return len(self._left_by_id)
+        """Return the number of active transfers."""
+        return len(self._remaining_by_id)
 
     def transfer(self, seconds: float) -> None:
         """Block for as long as a transfer of ``seconds`` at full speed takes."""
@@ -39,28 +39,28 @@
             self._advance()
             transfer_id = self._next_id
             self._next_id += 1
-            self._left_by_id[transfer_id] = seconds
+            self._remaining_by_id[transfer_id] = seconds
             self._changed.notify_all()
-            while self._left_by_id[transfer_id] > 1e-6:
-                self._changed.wait(self._left_by_id[transfer_id] / self._speed())
+            while self._remaining_by_id[transfer_id] > 1e-6:
+                self._changed.wait(self._remaining_by_id[transfer_id] / self._speed())
                 self._advance()
-            del self._left_by_id[transfer_id]
+            del self._remaining_by_id[transfer_id]
             self._changed.notify_all()
 
     def _speed(self) -> float:
-        return min(1.0, self._full_speed / len(self._left_by_id))
+        return min(1.0, self._full_speed / len(self._remaining_by_id))
 
     def _advance(self) -> None:
         now = time.monotonic()
-        if self._left_by_id:
-            done = (now - self._at) * self._speed()
-            for transfer_id in self._left_by_id:
-                self._left_by_id[transfer_id] -= done
-        self._at = now
+        if self._remaining_by_id:
+            done = (now - self._updated_at) * self._speed()
+            for transfer_id in self._remaining_by_id:
+                self._remaining_by_id[transfer_id] -= done
+        self._updated_at = now
 
 
 class WeightStoreStandIn:
-    """Answers for a file of weights once its load time has passed."""
+    """Answers a request for weights after its load time."""
 
     def __init__(
         self,
@@ -79,7 +79,7 @@
         self._history = history
 
     def answer(self, request: Request) -> Answer:
-        """Answer one load."""
+        """Answer one load request."""
         if request.method != "GET" or not request.path.startswith(PREFIX):
             return Answer.error(404, "not_found")
         name = request.path.removeprefix(PREFIX)
