--- a/tests/standin_client.py
+++ b/tests/standin_client.py
@@ -1,4 +1,4 @@
-"""Calls to stand-ins, as the tests make them."""
+"""HTTP client and polling helper for tests of the stand-ins."""
 
 import json
 import time
@@ -9,7 +9,7 @@
 
 
 class StandInClient:
-    """Calls one stand-in; nothing is sent twice."""
+    """HTTP client of one stand-in; does not retry."""
 
     def __init__(self, url: str, source: str = "127.0.0.1") -> None:
         self.url = url
@@ -23,7 +23,7 @@
         timeout: float = 10.0,
         **headers: str,
     ) -> tuple[int, Any]:
-        """Return the status and the JSON (or, of a stream, the text) of an answer."""
+        """Return the status and the JSON body, or the text of a stream."""
         response = self._pool.request(
             method,
             self.url + path,
@@ -36,7 +36,7 @@
         return response.status, response.data.decode()
 
     def open(self, path: str, body: Any, **headers: str) -> urllib3.BaseHTTPResponse:
-        """Start a request and return its answer unread."""
+        """Send a POST request and return its response with the body unread."""
         return self._pool.request(
             "POST",
             self.url + path,
@@ -47,19 +47,19 @@
         )
 
     def set_faults(self, **faults: Any) -> None:
-        """Switch faults."""
+        """Set or clear faults; None clears one."""
         status, answer = self.call("POST", "/faults", faults)
         assert status == 200, answer
 
     def events(self, event: str) -> list[dict[str, Any]]:
-        """Return the recorded events of one kind."""
+        """Return the recorded history events of one kind."""
         _, events = self.call("GET", "/history")
         return [entry for entry in events if entry["event"] == event]
 
 
 def wait_until(condition: Callable[[], Any], timeout: float = 5.0) -> None:
-    """Wait until a condition holds, or fail."""
+    """Poll until the condition holds; fail after ``timeout`` seconds."""
     deadline = time.monotonic() + timeout
     while not condition():
-        assert time.monotonic() < deadline, "the condition did not come to hold"
+        assert time.monotonic() < deadline, "condition not met before the timeout"
         time.sleep(0.01)
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -1,4 +1,4 @@
-"""The stand-in of a model engine."""
+"""Tests of the fake model engine."""
 
 import json
 import time
@@ -75,9 +75,9 @@
 
 
 class TestAnswers:
-    """Whole answers and streams."""
+    """Unary answers and streams."""
 
-    def test_the_text_follows_from_the_request(self, client: StandInClient) -> None:
+    def test_text_is_determined_by_the_request(self, client: StandInClient) -> None:
         status, answer = complete(client, max_tokens=7)
         assert (status, answer["id"], answer["model"]) == (200, "q1", "a@1")
         assert answer["choices"][0]["text"] == answer_text("a@1", "hello", 7)
@@ -87,21 +87,25 @@
         _, stream = complete(client, max_tokens=7, stream=True)
         assert text_of(stream) == answer_text("a@1", "hello", 7)
 
-    def test_a_chat_is_its_messages_as_one_prompt(self, client: StandInClient) -> None:
+    def test_chat_messages_are_joined_into_one_prompt(
+        self, client: StandInClient
+    ) -> None:
         messages = [{"role": "user", "content": "hello"}]
         body = {"model": "a@1", "messages": messages, "max_tokens": 3}
         _, answer = client.call("POST", "/v1/chat/completions", body)
         expected = answer_text("a@1", "user: hello", 3)
         assert answer["choices"][0]["message"]["content"] == expected
 
-    def test_an_adapter_that_is_not_loaded_is_not_run(
+    def test_request_for_an_unloaded_adapter_is_not_run(
         self, client: StandInClient
     ) -> None:
         status, answer = complete(client, model="a@2")
         assert (status, answer["error"]["type"]) == (404, "model_not_found")
         assert client.events("run_start") == []
 
-    def test_a_repeat_is_another_run(self, client: StandInClient) -> None:
+    def test_repeated_request_id_is_another_attempt(
+        self, client: StandInClient
+    ) -> None:
         complete(client)
         complete(client)
         attempts = [event["attempt"] for event in client.events("run_start")]
@@ -111,12 +115,12 @@
         "body",
         [{}, {"model": "a@1"}, {"model": "a@1", "prompt": [1]}, [], "x"],
     )
-    def test_refuses_wrong_bodies(self, client: StandInClient, body: Any) -> None:
+    def test_invalid_bodies_are_refused(self, client: StandInClient, body: Any) -> None:
         assert client.call("POST", "/v1/completions", body)[0] == 400
 
 
 class TestBatching:
-    """Runs share the batch; the rest wait in order."""
+    """Runs share the batch; further ones wait in priority order."""
 
     def test_runs_step_together(self, client: StandInClient) -> None:
         started = time.monotonic()
@@ -149,7 +153,7 @@
 
 
 class TestCancel:
-    """A caller that goes away ends its run; another may take it up."""
+    """A disconnect cancels the run; a resume continues it."""
 
     def test_a_closed_stream_is_cancelled(self, client: StandInClient) -> None:
         start_stream(client).close()
@@ -171,7 +175,7 @@
             stream.read()
         assert client.call("POST", "/resume", {"request_id": "q1"})[0] == 404
 
-    def test_a_broken_stream_goes_on_where_it_broke(
+    def test_a_broken_stream_is_resumed_at_its_offset(
         self, client: StandInClient
     ) -> None:
         start_stream(client, max_tokens=100).close()
@@ -193,14 +197,14 @@
         assert load(client, "c@1") == 200
         assert client.call("GET", "/state")[1]["loaded"] == ["b@1", "c@1"]
 
-    def test_an_eviction_under_a_run_shows(self, client: StandInClient) -> None:
+    def test_unload_evicts_an_active_run(self, client: StandInClient) -> None:
         stream = start_stream(client)
         assert unload(client, "a@1") == 200
         with pytest.raises(urllib3.exceptions.ProtocolError):
             stream.read()
         assert client.events("run_end")[0]["outcome"] == "evicted"
 
-    def test_a_checking_engine_refuses_old_tokens(self) -> None:
+    def test_stale_fencing_tokens_are_refused(self) -> None:
         with running_engine(check_fencing=True) as client:
             assert load(client, "a@1", token=7) == 200
             assert unload(client, "a@1", token=6) == 409
@@ -208,7 +212,7 @@
             assert len(client.events("order_refused")) == 2
             assert unload(client, "a@1", token=7) == 200
 
-    def test_loads_come_from_the_weight_store(self) -> None:
+    def test_weights_are_fetched_from_the_store(self) -> None:
         store = weights.create_server("127.0.0.1:0", load_seconds=0.1)
         with running(store) as url, running_engine(weights=url) as client:
             started = time.monotonic()
@@ -218,13 +222,15 @@
             assert load(client, "b@1") == 503
             assert client.call("GET", "/state")[1]["loaded"] == ["a@1"]
 
-    def test_a_switched_failure_counts_down(self, client: StandInClient) -> None:
+    def test_a_load_failure_occurs_the_given_number_of_times(
+        self, client: StandInClient
+    ) -> None:
         client.set_faults(fail_loads=1)
         assert [load(client, "b@1"), load(client, "b@1")] == [503, 200]
 
 
 class TestCrash:
-    """A crash loses everything and comes back cold."""
+    """A crash discards all runs, adapters and caches."""
 
     def test_a_marked_prompt_crashes_the_engine(self, client: StandInClient) -> None:
         client.set_faults(restart_s=0.2)
@@ -245,7 +251,9 @@
         assert {end["outcome"] for end in ends.values()} == {"crashed"}
         assert set(ends) == {"innocent", "poison"}
 
-    def test_a_crash_by_order_answers_the_order(self, client: StandInClient) -> None:
+    def test_the_request_that_sets_the_crash_fault_is_answered(
+        self, client: StandInClient
+    ) -> None:
         client.set_faults(crash=True, restart_s=0.1)
         time.sleep(0.3)
         assert len(client.events("crash")) == 1
@@ -253,9 +261,11 @@
 
 
 class TestAnswerFaults:
-    """Answers that go wrong after their run went right."""
+    """Faulty answers of runs that completed."""
 
-    def test_a_dropped_answer_ran(self, client: StandInClient) -> None:
+    def test_a_run_completes_although_its_answer_is_dropped(
+        self, client: StandInClient
+    ) -> None:
         client.set_faults(drop_answers=1)
         with pytest.raises(urllib3.exceptions.ProtocolError):
             complete(client)
@@ -275,9 +285,9 @@
 
 
 class TestReports:
-    """The exact state and the lagging report."""
+    """The exact state and the delayed load report."""
 
-    def test_the_report_lags(self, client: StandInClient) -> None:
+    def test_the_load_report_is_delayed(self, client: StandInClient) -> None:
         client.set_faults(load_lag_s=0.5)
         stream = start_stream(client)
         assert client.call("GET", "/state")[1]["running"] == [
--- a/tests/test_standin_faults.py
+++ b/tests/test_standin_faults.py
@@ -1,4 +1,4 @@
-"""Faults and history that all stand-ins share."""
+"""Tests of the faults, history, server and command shared by all stand-ins."""
 
 import signal
 import subprocess
@@ -22,9 +22,9 @@
 
 
 class TestFaults:
-    """How often a fault strikes."""
+    """How often a fault occurs."""
 
-    def test_a_share_repeats_with_its_seed(self) -> None:
+    def test_a_share_is_reproducible_with_its_seed(self) -> None:
         faults = Faults(["lose"])
 
         def draw() -> list[bool]:
@@ -40,7 +40,7 @@
         faults.merge({"lose": 2})
         assert [faults.occurs("lose") for _ in range(3)] == [True, True, False]
 
-    def test_none_switches_off_and_others_stay(self) -> None:
+    def test_none_clears_one_fault_and_keeps_the_others(self) -> None:
         faults = Faults(["lose"])
         faults.merge({"lose": True, "slow_ms": 5})
         faults.merge({"lose": None})
@@ -54,9 +54,9 @@
 
 
 class TestHistory:
-    """The bounded history."""
+    """The size-limited history."""
 
-    def test_a_reader_sees_by_the_index_that_events_are_gone(self) -> None:
+    def test_the_index_shows_that_events_were_dropped(self) -> None:
         history = History(kept=3)
         for number in range(5):
             history.record("run", number=number)
@@ -88,7 +88,9 @@
             cut.call("GET", "/")
         assert client.call("GET", "/")[0] == 200
 
-    def test_refuses_connections_for_a_while(self, client: StandInClient) -> None:
+    def test_connections_are_refused_for_the_given_time(
+        self, client: StandInClient
+    ) -> None:
         client.set_faults(refuse_s=0.3)
         with pytest.raises(urllib3.exceptions.NewConnectionError):
             client.call("GET", "/")
@@ -101,7 +103,9 @@
 
         wait_until(serves)
 
-    def test_a_connection_serves_many_requests(self, client: StandInClient) -> None:
+    def test_a_connection_is_reused_for_many_requests(
+        self, client: StandInClient
+    ) -> None:
         connection = urllib3.HTTPConnectionPool(
             client.url.removeprefix("http://"), maxsize=1, block=True, retries=False
         )
@@ -125,7 +129,9 @@
         ],
         ids=lambda arguments: arguments[0],
     )
-    def test_says_where_it_listens_and_ends_with_0(self, arguments: list[str]) -> None:
+    def test_prints_its_address_and_exits_with_0_on_sigterm(
+        self, arguments: list[str]
+    ) -> None:
         command = [sys.executable, "-m", "bamboovale", "standin", *arguments]
         process = subprocess.Popen(
             [*command, "--listen", "127.0.0.1:0"],
--- a/tests/test_standin_links.py
+++ b/tests/test_standin_links.py
@@ -1,4 +1,4 @@
-"""The stand-ins of a plain service and of the links between VMs."""
+"""Tests of the fake plain service and of the link relay."""
 
 import hashlib
 import socket
@@ -18,7 +18,7 @@
 
 
 class TestService:
-    """Every run is recorded, whatever its caller gets to see."""
+    """Every run is recorded, whether or not its caller gets the answer."""
 
     @pytest.fixture
     def client(self) -> Iterator[StandInClient]:
@@ -37,19 +37,23 @@
             digest = hashlib.sha256(b'{"a": 1}').hexdigest()
             assert described["body_sha256"] == digest
 
-    def test_a_dropped_answer_ran(self, client: StandInClient) -> None:
+    def test_a_run_with_a_dropped_answer_is_recorded(
+        self, client: StandInClient
+    ) -> None:
         client.set_faults(drop_after_run=1, drop_before_run=None)
         with pytest.raises(urllib3.exceptions.ProtocolError):
             client.call("POST", "/book")
         assert len(client.events("run")) == 1
 
-    def test_a_hanging_run_ran_too(self, client: StandInClient) -> None:
+    def test_a_hanging_run_is_recorded(self, client: StandInClient) -> None:
         client.set_faults(hang=1)
         with pytest.raises(urllib3.exceptions.ReadTimeoutError):
             client.call("POST", "/book", timeout=0.2)
         assert len(client.events("run")) == 1
 
-    def test_errors_ran_and_refusals_did_not(self, client: StandInClient) -> None:
+    def test_errors_are_recorded_as_runs_and_refusals_are_not(
+        self, client: StandInClient
+    ) -> None:
         client.set_faults(error_share=1)
         assert client.call("POST", "/book")[0] == 500
         client.set_faults(error_share=None, refuse_share=1)
@@ -58,7 +62,7 @@
 
 
 class Echo:
-    """A TCP server that sends back what it gets."""
+    """A TCP server that echoes the bytes it receives."""
 
     def __init__(self) -> None:
         self._listener = socket.create_server(("127.0.0.1", 0))
@@ -82,7 +86,7 @@
 
 
 class TestRelay:
-    """Links cut by source address and direction."""
+    """Link faults by source address and direction."""
 
     @pytest.fixture
     def echo(self) -> Echo:
@@ -102,7 +106,7 @@
         with made:
             yield made
 
-    def test_passes_bytes_with_their_source(
+    def test_forwards_bytes_and_keeps_the_source_address(
         self, rules: StandInClient, echo: Echo
     ) -> None:
         with self.connection() as link:
@@ -111,7 +115,9 @@
         assert echo.sources == [SOURCE]
 
     @pytest.mark.parametrize("rule", ["hold_to_target", "hold_to_source"])
-    def test_held_bytes_come_later(self, rules: StandInClient, rule: str) -> None:
+    def test_held_bytes_arrive_after_the_rule_is_removed(
+        self, rules: StandInClient, rule: str
+    ) -> None:
         rules.set_faults(**{rule: [SOURCE]})
         with self.connection() as link, self.connection("127.0.0.13") as other:
             for end in (link, other):
@@ -146,7 +152,7 @@
             rules.set_faults(refuse=[SOURCE])
             with pytest.raises(ConnectionResetError):
                 link.recv(10)
-        # The reset may come while the caller still connects, or after.
+        # The reset may arrive during or after the connect.
         with pytest.raises(ConnectionResetError), self.connection() as link:
             link.recv(10)
         assert len(rules.events("connected")) == 1
--- a/tests/test_standin_platform.py
+++ b/tests/test_standin_platform.py
@@ -1,4 +1,4 @@
-"""The stand-ins of the platform: log, VM list and weight store."""
+"""Tests of the fake platform services: log, VM list and weight store."""
 
 import time
 from collections.abc import Iterator
@@ -15,7 +15,7 @@
 
 
 class TestLog:
-    """Streams, offsets, the append rate and lost answers."""
+    """Streams, offsets, the append rate and lost answers of the log."""
 
     @pytest.fixture
     def client(self) -> Iterator[StandInClient]:
@@ -27,7 +27,7 @@
         assert status == 200
         return answer["offset"]
 
-    def test_reads_back_in_order(self, client: StandInClient) -> None:
+    def test_records_are_read_in_order(self, client: StandInClient) -> None:
         values = [{"name": "é"}, [1, 2], None]
         assert [self.append(client, value) for value in values] == [0, 1, 2]
         _, answer = client.call("GET", f"{RECORDS}?from=1&limit=1")
@@ -44,7 +44,7 @@
         assert time.monotonic() - started < 1
         assert [record["value"] for record in answer["records"]] == [7]
 
-    def test_expired_records_are_a_gap(self, client: StandInClient) -> None:
+    def test_expired_records_leave_a_gap(self, client: StandInClient) -> None:
         for number in range(5):
             self.append(client, number)
         client.set_faults(retention_records=2)
@@ -55,7 +55,9 @@
         _, answer = client.call("GET", f"{RECORDS}?from=0")
         assert (answer["first"], answer["next"], answer["records"]) == (5, 5, [])
 
-    def test_a_lost_answer_took_effect(self, client: StandInClient) -> None:
+    def test_an_append_with_a_lost_answer_is_stored(
+        self, client: StandInClient
+    ) -> None:
         client.set_faults(lose_answers=1)
         with pytest.raises(urllib3.exceptions.ProtocolError):
             self.append(client, "lost")
@@ -77,14 +79,14 @@
         ("body", "status"),
         [({"val": 1}, 400), ([1], 400), ({"value": "x" * (1 << 20)}, 413)],
     )
-    def test_refuses_wrong_bodies(
+    def test_invalid_bodies_are_refused(
         self, client: StandInClient, body: object, status: int
     ) -> None:
         assert client.call("POST", RECORDS, body)[0] == status
 
 
 class TestVMList:
-    """Rows, the lag and a list that has gone stale."""
+    """Rows, the lag and the frozen list."""
 
     @pytest.fixture
     def client(self) -> Iterator[StandInClient]:
@@ -99,7 +101,7 @@
         row = {"kind": "runner", "address": "127.0.0.1", "state": state}
         assert client.call("PUT", "/vms/r1", row)[0] == 200
 
-    def test_changes_show_after_the_lag(self, client: StandInClient) -> None:
+    def test_changes_are_visible_after_the_lag(self, client: StandInClient) -> None:
         self.put(client)
         assert self.states(client) == {}
         wait_until(lambda: self.states(client) == {"r1": "live"})
@@ -107,7 +109,7 @@
         assert self.states(client) == {"r1": "live"}
         wait_until(lambda: self.states(client) == {})
 
-    def test_stale_shows_what_was(self, client: StandInClient) -> None:
+    def test_a_stale_list_stays_frozen(self, client: StandInClient) -> None:
         client.set_faults(lag_s=0)
         self.put(client)
         client.set_faults(stale=True)
@@ -116,13 +118,13 @@
         client.set_faults(stale=None)
         assert self.states(client) == {"r1": "leaving"}
 
-    def test_refuses_a_wrong_state(self, client: StandInClient) -> None:
+    def test_an_unknown_state_is_refused(self, client: StandInClient) -> None:
         row = {"kind": "runner", "address": "127.0.0.1", "state": "gone"}
         assert client.call("PUT", "/vms/r1", row)[0] == 400
 
 
 class TestWeightStore:
-    """The rate and the shared bandwidth."""
+    """The load rate and the shared bandwidth."""
 
     @pytest.fixture
     def client(self) -> Iterator[StandInClient]:
@@ -150,7 +152,7 @@
         assert statuses[:2] == [200, 200]
         assert 429 in statuses
 
-    def test_fails_the_names_it_was_told(self, client: StandInClient) -> None:
+    def test_only_the_named_loads_fail(self, client: StandInClient) -> None:
         client.set_faults(fail=["a/1"], load_seconds=0)
         assert client.call("GET", "/weights/a%2F1")[0] == 503
         assert client.call("GET", "/weights/b%2F1")[0] == 200
