--- a/bamboovale/standins/__init__.py
+++ b/bamboovale/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Fakes of the platform services and the endpoints, for tests and the demo."""
+"""Stand-ins of the platform services and the endpoints, for tests and the demo."""
--- a/bamboovale/standins/engine.py
+++ b/bamboovale/standins/engine.py
@@ -1,4 +1,4 @@
-"""Fake model engine: the HTTP interface, load orders and crashes."""
+"""Stand-in of a model engine: the HTTP interface, load orders and crashes."""
 
 import time
 import uuid
--- a/bamboovale/standins/log.py
+++ b/bamboovale/standins/log.py
@@ -1,4 +1,4 @@
-"""Fake of the platform's append-only log service."""
+"""Stand-in of the platform's append-only log service."""
 
 import json
 import re
--- a/bamboovale/standins/platform_endpoints.py
+++ b/bamboovale/standins/platform_endpoints.py
@@ -1,7 +1,7 @@
-"""Fakes of the users' endpoints: a plain service and a model runner.
+"""Stand-ins of the users' endpoints: a plain service and a model runner.
 
-They register themselves in the fake store, implement the published requests, reports
-and orders, and record their runs, which tests compare with the callers' responses.
+They register themselves in the stand-in store, implement the published requests,
+reports and orders, and record their runs, which tests compare with the responses.
 """
 
 import asyncio
@@ -92,7 +92,7 @@
             "state": state,
             "cold-left-ms": 0,
             "seq": 0,
-            **self.born(),
+            **self.start_time_fields(),
             **self.description(),
             **fields,
         }
@@ -106,7 +106,7 @@
         """Stop serving and reset all connections without unregistering."""
         self._server.close()
 
-    def born(self) -> dict[str, Any]:
+    def start_time_fields(self) -> dict[str, Any]:
         """Return the start-time field of records and reports, if one is set."""
         return {} if self.born_ms is None else {"born": self.born_ms}
 
@@ -276,7 +276,7 @@
             "queued": 0,
             "active": sum(self._active_by_adapter.values()),
             "loading": [f"{self._model}/{n}@{v}" for n, v in self._loading.items()],
-            **self.born(),
+            **self.start_time_fields(),
         }
         self._reports.append((now, current))
         old = [report for at, report in self._reports if at <= now - REPORT_LAG_S]
--- a/bamboovale/standins/platform_store.py
+++ b/bamboovale/standins/platform_store.py
@@ -1,4 +1,4 @@
-"""In-memory fake of the users' metadata store: keyed topics and consumer groups.
+"""In-memory stand-in of the users' metadata store: keyed topics and consumer groups.
 
 Implements the published HTTP calls and injects faults on request. As in the real
 store, a partition moves only after its previous member has acknowledged the change.
@@ -79,7 +79,7 @@
 
 
 class PlatformStore:
-    """The fake store; ``handle`` serves its HTTP calls."""
+    """The stand-in store; ``handle`` serves its HTTP calls."""
 
     def __init__(self, now: Callable[[], float] = time.monotonic) -> None:
         self.faults = StoreFaults()
--- a/bamboovale/standins/relay.py
+++ b/bamboovale/standins/relay.py
@@ -187,10 +187,10 @@
             self._changed.notify_all()
             links = list(self._links)
         for link in links:
-            if self.has_rule("refuse", link.source) or self._is_broken(link):
+            if self.has_rule("refuse", link.source) or self._must_reset(link):
                 link.reset()
 
-    def _is_broken(self, link: Link) -> bool:
+    def _must_reset(self, link: Link) -> bool:
         rules = (f"drop_{direction}" for direction in Direction)
         return link.lost_bytes and not any(
             self.has_rule(rule, link.source) for rule in rules
--- a/bamboovale/standins/server.py
+++ b/bamboovale/standins/server.py
@@ -258,8 +258,8 @@
         return f"{host}:{port}"
 
     def _serve(self, listening: threading.Event) -> None:
-        # The workers are made on this thread and are daemons as it is: one that a
-        # fault holds for ever (``hang``) does not keep the process alive.
+        # Workers started on this daemon thread are daemons too, so that one blocked
+        # by a ``hang`` fault does not keep the process alive.
         try:
             self.prepare()
             # Inherited by accepted connections: one that is still closing would
--- a/bamboovale/standins/service.py
+++ b/bamboovale/standins/service.py
@@ -1,4 +1,4 @@
-"""Fake of a plain service that echoes requests and records runs."""
+"""Stand-in of a plain service that echoes requests and records runs."""
 
 import hashlib
 import time
--- a/bamboovale/standins/vms.py
+++ b/bamboovale/standins/vms.py
@@ -1,4 +1,4 @@
-"""Fake of the platform's VM list; changes become visible after a lag."""
+"""Stand-in of the platform's VM list; changes become visible after a lag."""
 
 import os
 import threading
@@ -50,7 +50,8 @@
 
     def __init__(self, lag_s: float, faults: Faults, history: History) -> None:
         self._lag_s = lag_s
-        self._start = os.urandom(4).hex()  # makes the ETags of a restarted list differ
+        # Makes the ETags of a restarted list differ from earlier ones.
+        self._start_id = os.urandom(4).hex()
         self._faults = faults
         self._history = history
         self._lock = threading.Lock()
@@ -75,7 +76,7 @@
     def _show(self, request: Request) -> Answer:
         """Return the list, or 304 if the caller has this version."""
         shown = self._shown()
-        etag = f'"{self._start}-{shown.version}"'
+        etag = f'"{self._start_id}-{shown.version}"'
         headers = {"ETag": etag}
         if request.headers.get("if-none-match") == etag:
             return Answer(304, body=b"", headers=headers)
--- a/bamboovale/standins/weights.py
+++ b/bamboovale/standins/weights.py
@@ -1,4 +1,4 @@
-"""Fake of the weight store: limited load rate and shared bandwidth."""
+"""Stand-in of the weight store: limited load rate and shared bandwidth."""
 
 import math
 import threading
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -1,4 +1,4 @@
-"""Tests of the fake model engine."""
+"""Tests of the stand-in of a model engine."""
 
 import json
 import time
--- a/tests/test_standin_links.py
+++ b/tests/test_standin_links.py
@@ -1,4 +1,4 @@
-"""Tests of the fake plain service and of the link relay."""
+"""Tests of the stand-ins of a plain service and of the link relay."""
 
 import hashlib
 import socket
--- a/tests/test_standin_platform.py
+++ b/tests/test_standin_platform.py
@@ -1,4 +1,4 @@
-"""Tests of the fake platform services: log, VM list and weight store."""
+"""Tests of the platform's stand-ins: log, VM list and weight store."""
 
 import time
 from collections.abc import Iterator
