--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -248,7 +248,7 @@
         async def test() -> None:
             async with running_site(runners=2) as site:
                 for runner in site.runners:
-                    runner.hold("a1")
+                    runner.preload("a1")
                     await runner.register("ready")
                 site.runners[0].faults.cut_after = 2
                 site.runners[1].faults.cut_after = 2
@@ -290,7 +290,7 @@
                         answer = await call(vm.address, "/chat/1", adapter="a1")
                         assert (answer.status, answer.whole) == (200, True)
                     refused = runner.refused
-                    await runner.start_again(born_ms)
+                    await runner.restart(born_ms)
                     await eventually(lambda: _start_is_known(site, runner))
                 for vm in site.vms:
                     answer = await call(vm.address, "/chat/1", adapter="a1")
@@ -306,7 +306,7 @@
             async with running_site() as site:
                 runner = site.runners[0]
                 await call(site.vms[0].address, "/chat/1", adapter="a1")
-                await runner.start_again(1000, registers=False)
+                await runner.restart(1000, registers=False)
                 await eventually(lambda: _start_is_known(site, runner))
                 answer = await call(site.vms[0].address, "/chat/1", adapter="a1")
                 assert (answer.status, answer.whole) == (200, True)
@@ -349,7 +349,7 @@
         async def test() -> None:
             async with running_site(vms=2, load_s=30.0) as site:
                 runner = site.runners[0]
-                runner.hold("a1")
+                runner.preload("a1")
                 owner = site.owned()["runner-0"]
                 other = next(item for item in site.vms if item is not owner)
                 other.vm.peering.status_exchange.on_engine_needed()
@@ -545,7 +545,7 @@
                 site.store.faults.mode = "busy"
                 await asyncio.sleep(1.5)
                 await site.services[0].unregister()
-                site.store.forget_history()
+                site.store.compact()
                 site.store.faults.mode = "ok"
                 await asyncio.sleep(1.5)
                 assert (await call(site.vms[0].address, "/book/1")).status == 200
@@ -635,7 +635,7 @@
 
         async def test() -> None:
             async with running_site(vms=2) as site:
-                site.runners[0].hold("a1")
+                site.runners[0].preload("a1")
                 await site.runners[0].register("ready")
                 await _restart_all(site)
                 await eventually(lambda: all(i.vm.state.serving() for i in site.vms))
