--- a/bench/soak.py
+++ b/bench/soak.py
@@ -22,7 +22,7 @@
 from bamboovale.http1.connection import ConnectFailed
 from bench.soak_callers import Attempt, Caller, Kind
 from bench.soak_checks import Evidence, FaultSpan, Violation, find_violations
-from bench.soak_faults import Striker
+from bench.soak_faults import FaultLane
 from bench.soak_site import SoakSite, running_site
 
 LANES = 2
@@ -115,19 +115,19 @@
         async with asyncio.TaskGroup() as group:
             for lane in range(LANES):
                 rng = random.Random(f"{self.config.seed}-lane-{lane}")
-                group.create_task(Striker(self.site, self.faults, rng).run())
+                group.create_task(FaultLane(self.site, self.faults, rng).run())
             if self.config.starts_again:
                 rng = random.Random(f"{self.config.seed}-starts")
-                starts = Striker.of_starts(self.site, self.faults, rng)
+                starts = FaultLane.of_engine_restarts(self.site, self.faults, rng)
                 group.create_task(starts.run())
             if self.config.silences:
                 rng = random.Random(f"{self.config.seed}-silences")
-                silences = Striker.of_silences(self.site, self.faults, rng)
+                silences = FaultLane.of_silent_connections(self.site, self.faults, rng)
                 group.create_task(silences.run())
 
     async def _recover(self) -> list[Violation]:
         """End all faults; every VM must serve every kind again."""
-        await Striker(self.site, self.faults, random.Random(0)).mend()
+        await FaultLane(self.site, self.faults, random.Random(0)).end_all()
         await asyncio.sleep(SETTLE_S)
         deadline = time.monotonic() + RECOVERY_S
         found = []
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -26,7 +26,7 @@
 Strike = Callable[[], Awaitable[None]]
 
 
-class Striker:
+class FaultLane:
     """One lane: strikes one fault after another for ever."""
 
     def __init__(
@@ -55,32 +55,32 @@
         ]
 
     @classmethod
-    def of_starts(
+    def of_engine_restarts(
         cls,
         site: SoakSite,
         spans: list[FaultSpan],
         rng: random.Random,
-    ) -> "Striker":
+    ) -> "FaultLane":
         """Return a lane that only lets engines start again under their ids.
 
         A lane of its own: the draws of the others, and with them the seeds that once
         showed a fault, stay as they are.
         """
-        striker = cls(site, spans, rng)
-        striker._strikes = [striker._runner_starts_again]
-        return striker
+        lane = cls(site, spans, rng)
+        lane._strikes = [lane._runner_starts_again]
+        return lane
 
     @classmethod
-    def of_silences(
+    def of_silent_connections(
         cls,
         site: SoakSite,
         spans: list[FaultSpan],
         rng: random.Random,
-    ) -> "Striker":
+    ) -> "FaultLane":
         """Return a lane in which open connections fall silent for good."""
-        striker = cls(site, spans, rng)
-        striker._strikes = [striker._connections_fall_silent]
-        return striker
+        lane = cls(site, spans, rng)
+        lane._strikes = [lane._connections_fall_silent]
+        return lane
 
     async def run(self) -> None:
         """Strike for ever."""
@@ -88,7 +88,7 @@
             await self._rng.choice(self._strikes)()
             await asyncio.sleep(LONGEST_PAUSE_S * self._rng.random())
 
-    async def mend(self) -> None:
+    async def end_all(self) -> None:
         """End every fault; all VMs run."""
         self._site.store.faults = StoreFaults()
         for vm in self._site.vms:
