--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -223,7 +223,7 @@
         if runner.endpoint_id in self._site.leaving_at:
             return
         async with self._span("runner starts again", runner.endpoint_id):
-            await self._site.start_runner_again(runner)
+            await self._site.restart_runner(runner)
 
     async def _endpoint_leaves(self) -> None:
         """Let an endpoint leave as planned: it says so, serves on, and is replaced."""
@@ -231,7 +231,7 @@
         leaving = self._rng.choice([*site.runners, *site.services])
         if leaving.endpoint_id in site.leaving_at:
             return
-        await site.say_leaving(leaving)
+        await site.mark_leaving(leaving)
         await asyncio.sleep(LEAVES_AFTER_S)
         if leaving in site.runners:
             await site.replace_runner(leaving)
--- a/bench/soak_site.py
+++ b/bench/soak_site.py
@@ -195,7 +195,7 @@
         await runner.unregister()
         await self.add_runner()
 
-    async def start_runner_again(self, runner: PlatformRunner) -> None:
+    async def restart_runner(self, runner: PlatformRunner) -> None:
         """Crash an engine with its streams; it is back at once, empty, under its id.
 
         Its record follows a little later, as a heartbeat does.
@@ -207,7 +207,7 @@
         await asyncio.sleep(START_TOLD_S)
         await runner.register("ready")
 
-    async def say_leaving(self, endpoint: PlatformEndpoint) -> None:
+    async def mark_leaving(self, endpoint: PlatformEndpoint) -> None:
         """Let an endpoint say that it leaves; it serves on for a while."""
         await endpoint.register("draining")
         self.leaving_at[endpoint.endpoint_id] = time.monotonic()
