--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,10 +1,10 @@
 """``python -m bench.soak --seconds 60 --seed 1``: the routed interface under faults.
 
-Entry VMs run as processes of their own; the stand-ins of the platform run here, each
-behind a proxy. Two lanes of faults strike from outside, drawn from the seed: signals,
-links, the store and the endpoints, in series that overlap. What callers got and what
-endpoints ran is checked every second and at the end, when everything must serve again.
-Exits 1 on a broken promise and keeps the logs.
+Entry VMs run as separate processes; the platform stand-ins run in this process, each
+behind a proxy. Two lanes inject random faults drawn from the seed, which may overlap:
+signals, broken links, and faults of the store and the endpoints. Responses and
+endpoint runs are checked every second and at the end, when all VMs must serve again.
+Exits 1 on a violation and keeps the logs.
 """
 
 import argparse
@@ -28,17 +28,17 @@
 LANES = 2
 CHECK_S = 1.0
 SETTLE_S = 4.0
-"""After the last fault, before everything is expected to serve."""
+"""Wait after the last fault before requests are expected to succeed."""
 RECOVERY_S = 15.0
 GOOD_IN_A_ROW = 5
 
 
 @dataclass(frozen=True)
 class SoakConfig:
-    """How long, from which seed, and how large.
+    """Duration in seconds, seed and size of a soak.
 
-    ``starts_again``: engines also crash and come back under their ids. ``silences``:
-    open connections also fall silent for good while new ones work.
+    ``starts_again``: engines also crash and restart under the same id. ``silences``:
+    open connections also stop passing data for good, while new ones work.
     """
 
     seconds: float = 60.0
@@ -53,7 +53,7 @@
 
 @dataclass
 class Soak:
-    """One soak: its deployment, what was seen, what was found."""
+    """One soak run: its deployment, the requests sent and the faults injected."""
 
     config: SoakConfig
     site: SoakSite
@@ -62,9 +62,9 @@
     numbers: "itertools.count[int]" = field(default_factory=itertools.count)
 
     async def run(self) -> list[Violation]:
-        """Strike for the time set; return every broken promise."""
+        """Inject faults for the configured time; return every violation."""
         tasks = [asyncio.create_task(caller.run()) for caller in self._callers()]
-        tasks.append(asyncio.create_task(self._strike()))
+        tasks.append(asyncio.create_task(self._inject_faults()))
         found: list[Violation] = []
         try:
             until = time.monotonic() + self.config.seconds
@@ -81,7 +81,7 @@
         return found
 
     def evidence(self) -> Evidence:
-        """Return what was seen so far."""
+        """Return the evidence collected so far."""
         site = self.site
         endpoints = site.endpoints
         return Evidence(
@@ -110,8 +110,8 @@
             for number in range(self.config.callers)
         ]
 
-    async def _strike(self) -> None:
-        """Run the lanes; what ends them is a fault of the soak itself."""
+    async def _inject_faults(self) -> None:
+        """Run the fault lanes; an error that ends one is a bug in the soak."""
         async with asyncio.TaskGroup() as group:
             for lane in range(LANES):
                 rng = random.Random(f"{self.config.seed}-lane-{lane}")
@@ -126,7 +126,7 @@
                 group.create_task(silences.run())
 
     async def _recover(self) -> list[Violation]:
-        """End all faults; every VM must serve every kind again."""
+        """End all faults; check that every VM serves every kind of request again."""
         await FaultLane(self.site, self.faults, random.Random(0)).end_all()
         await asyncio.sleep(SETTLE_S)
         deadline = time.monotonic() + RECOVERY_S
@@ -136,14 +136,14 @@
                 caller = Caller([vm], [], self.numbers, random.Random(vm.name))
                 good = 0
                 while good < GOOD_IN_A_ROW and time.monotonic() < deadline:
-                    good = good + 1 if await _served(caller, kind, vm) else 0
+                    good = good + 1 if await _is_served(caller, kind, vm) else 0
                 if good < GOOD_IN_A_ROW:
-                    detail = f"{kind.value} is not served {RECOVERY_S} s after all"
+                    detail = f"{kind.value} is not served within {RECOVERY_S} s"
                     found.append(Violation("recovery", vm.name, detail))
         return found
 
 
-async def _served(caller: Caller, kind: Kind, vm: object) -> bool:
+async def _is_served(caller: Caller, kind: Kind, vm: object) -> bool:
     try:
         attempt = await caller.send_once(kind, vm)  # type: ignore[arg-type]
     except (ConnectFailed, OSError):
@@ -156,7 +156,7 @@
 
 
 async def run_soak(config: SoakConfig, directory: Path) -> tuple[Soak, list[Violation]]:
-    """Run one soak in a directory that gets the logs."""
+    """Run one soak; logs are written to the directory."""
     async with running_site(
         directory,
         config.vms,
@@ -168,7 +168,7 @@
 
 
 def describe(soak: Soak, found: Sequence[Violation]) -> str:
-    """Return the verdict, with the faults that were on."""
+    """Return a summary, with the violations and the injected faults."""
     outcomes = Counter(
         f"{a.status}{'' if a.whole else ' cut'}" if a.status else "no answer"
         for a in soak.attempts
--- a/bench/soak_callers.py
+++ b/bench/soak_callers.py
@@ -1,4 +1,4 @@
-"""Callers of a soak: they keep connections open and write down what they got."""
+"""Callers of a soak: they reuse connections and record each response."""
 
 import asyncio
 import itertools
@@ -14,13 +14,13 @@
 from bench.soak_site import VMProcess
 
 ADAPTERS = tuple(f"a{number}" for number in range(1, 9))
-PATIENCE_S = 3.0
-"""A caller's deadline; it gives up a little later."""
+DEADLINE_S = 3.0
+"""Deadline sent with each request; the caller times out one second later."""
 PAUSE_S = 0.02
 
 
 class Kind(StrEnum):
-    """What a caller asks for; the name of its route."""
+    """Kind of request; the value is the name of its route."""
 
     BOOK = "book"
     CHECK = "check"
@@ -30,14 +30,14 @@
 
 STREAMS = (Kind.CHAT, Kind.LONG)
 ONCE_ONLY = (Kind.BOOK, Kind.CHAT)
-"""May run once at most: unsafe calls, and streams that may not be resumed."""
+"""Must run at most once: unsafe calls, and streams that cannot be resumed."""
 
 
 @dataclass(frozen=True)
 class Attempt:
-    """One request of a caller and its end; ``status`` 0: no answer.
+    """One request of a caller and its result; ``status`` is 0 without a response.
 
-    ``whole`` tells that the answer came to its proper end.
+    ``whole`` is true if the response was complete.
     """
 
     request_id: str
@@ -52,7 +52,7 @@
 
 
 class Caller:
-    """Sends one request after another, on one connection while it lasts."""
+    """Sends requests one at a time, reusing its connection while it is open."""
 
     def __init__(
         self,
@@ -69,7 +69,7 @@
         self._connection: Connection | None = None
 
     async def run(self) -> None:
-        """Send for ever."""
+        """Send requests until cancelled."""
         while True:
             kind = self._rng.choice(list(Kind))
             try:
@@ -90,7 +90,7 @@
             connection.close()
 
     async def _connected(self) -> Connection:
-        """Return the kept connection, or a new one to any VM."""
+        """Return the open connection, or a new one to a random VM."""
         kept = self._connection
         if kept is not None and kept.reusable and not kept.closed:
             return kept
@@ -107,7 +107,7 @@
         sent_at = time.monotonic()
         answer: CallerAnswer | None = None
         try:
-            async with asyncio.timeout(PATIENCE_S + 1.0):
+            async with asyncio.timeout(DEADLINE_S + 1.0):
                 connection.send(*_request(kind, request_id, adapter))
                 answer = await read_answer(connection)
         except (TimeoutError, AnswerBroken, OSError):
@@ -133,9 +133,9 @@
     headers = [
         ("Host", HOST),
         ("X-Request-Id", request_id),
-        ("X-Deadline-Ms", str(int(PATIENCE_S * 1000))),
+        ("X-Deadline-Ms", str(int(DEADLINE_S * 1000))),
     ]
-    # Each its own: requests that are all the same count as one that comes again.
+    # Bodies differ, because identical requests count as repeats of one.
     body = b"" if kind is Kind.CHECK else f"hello {request_id}".encode()
     if body:
         headers.append(("Content-Length", str(len(body))))
--- a/bench/soak_checks.py
+++ b/bench/soak_checks.py
@@ -1,4 +1,4 @@
-"""What a soak must hold, from what callers got and what endpoints ran."""
+"""Checks of a soak, over the responses of callers and the runs of endpoints."""
 
 import re
 import signal
@@ -11,22 +11,22 @@
 
 NOT_RUN = (408, 421, 429, 503)
 EVENTS = 5
-"""Of each stream of the stand-in engines."""
+"""Number of events in each stream of the stand-in engines."""
 VERSION_S = 5.0
-"""From the store's acknowledgement of a version to its last older run, as settings say;
-only while the store answers everybody."""
+"""Longest time from the store's acknowledgement of a version to the last run of an
+older one, as configured; only while the store is reachable for all VMs."""
 LEAVING_S = 2.0
-"""From the store's acknowledgement that an endpoint leaves to the last request that
-begins there, as settings say; only while nothing disturbs the store or a VM."""
+"""Longest time from the store's acknowledgement that an endpoint is draining to the
+last request that starts there, as configured; only while no fault is active."""
 STOP_SLACK_S = 0.5
 PAUSED = "paused"
-"""Name of the fault that stops a VM's process for a while by a signal."""
+"""Name of the fault that suspends a VM's process by SIGSTOP."""
 EVENT = re.compile(rb"id: (\d+)\ndata: ([^\n]*)\n\n")
 
 
 @dataclass(frozen=True)
 class Violation:
-    """A broken promise, with the request or VM that shows it."""
+    """A broken promise, with the request, VM or endpoint concerned."""
 
     promise: str
     subject: str
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class FaultSpan:
-    """When a fault struck; ``subject`` is a VM, ``store`` or an endpoint."""
+    """Interval in which a fault was active; ``subject`` is a VM, store or endpoint."""
 
     name: str
     subject: str
@@ -47,13 +47,13 @@
     ended_at: float
 
     def overlaps(self, began_at: float, ended_at: float) -> bool:
-        """Tell whether it was on at some moment between two times."""
+        """Tell whether the fault was active at any time in the interval."""
         return self.began_at <= ended_at and began_at <= self.ended_at
 
 
 @dataclass
 class Evidence:
-    """Everything that was seen; ``leaving_at``: when endpoints said that they leave."""
+    """Input of the checks; ``leaving_at`` holds when each endpoint began to drain."""
 
     attempts: Sequence[Attempt]
     runs: Sequence[Run]
@@ -76,11 +76,11 @@
     for attempt in evidence.attempts:
         runs = runs_by_id.get(attempt.request_id, [])
         found += _at_most_once(attempt, runs)
-        found += _not_run_is_true(attempt, runs)
-        found += _own_whole_answer(attempt)
+        found += _refused_means_not_run(attempt, runs)
+        found += _complete_own_answer(attempt)
         found += _right_adapter(attempt, evidence)
     found += _never_overfilled(evidence.overfilled)
-    found += _nothing_new_to_what_leaves(evidence)
+    found += _no_new_runs_while_leaving(evidence)
     found += _planned_stops(evidence)
     return found
 
@@ -90,13 +90,13 @@
         yield Violation("at most once", attempt.request_id, f"ran {len(runs)} times")
 
 
-def _not_run_is_true(attempt: Attempt, runs: list[Run]) -> Iterator[Violation]:
+def _refused_means_not_run(attempt: Attempt, runs: list[Run]) -> Iterator[Violation]:
     if attempt.status in NOT_RUN and runs and attempt.kind in ONCE_ONLY:
         detail = f"answered {attempt.status} and ran"
         yield Violation("not run is true", attempt.request_id, detail)
 
 
-def _own_whole_answer(attempt: Attempt) -> Iterator[Violation]:
+def _complete_own_answer(attempt: Attempt) -> Iterator[Violation]:
     if attempt.status != 200 or not attempt.whole:
         return
     if attempt.kind in STREAMS:
@@ -127,17 +127,17 @@
 
 
 def _oldest_allowed(attempt: Attempt, evidence: Evidence) -> int:
-    """Return the version that must run, as far as it was named while all was well."""
+    """Return the oldest version that may run, ignoring updates during faults."""
     allowed = 1
     for acked_at, version in evidence.version_acks.get(attempt.adapter or "", ()):
         if attempt.sent_at - acked_at < VERSION_S:
             continue
-        if not _struck(evidence.faults, ("store", attempt.vm), acked_at, attempt):
+        if not _fault_active(evidence.faults, ("store", attempt.vm), acked_at, attempt):
             allowed = max(allowed, version)
     return allowed
 
 
-def _struck(
+def _fault_active(
     faults: Iterable[FaultSpan],
     subjects: tuple[str, ...],
     since: float,
@@ -151,38 +151,40 @@
 
 def _never_overfilled(names: Iterable[str]) -> Iterator[Violation]:
     for name in names:
-        yield Violation("slots", name, "ordered past its adapter slots")
+        yield Violation("slots", name, "received loads beyond its adapter slots")
 
 
-def _nothing_new_to_what_leaves(evidence: Evidence) -> Iterator[Violation]:
-    """Find runs that began too long after their endpoint had said that it leaves."""
-    for endpoint, said_at in evidence.leaving_at.items():
+def _no_new_runs_while_leaving(evidence: Evidence) -> Iterator[Violation]:
+    """Find runs that started too long after their endpoint began to drain."""
+    for endpoint, leaving_at in evidence.leaving_at.items():
         for run in evidence.runs_by_leaving.get(endpoint, ()):
-            late_s = run.started_at - said_at
+            late_s = run.started_at - leaving_at
             disturbed = any(
-                fault.overlaps(said_at, run.started_at) for fault in evidence.faults
+                fault.overlaps(leaving_at, run.started_at) for fault in evidence.faults
             )
             if late_s > LEAVING_S and not disturbed:
-                detail = f"run {run.request_id} began {late_s:.1f} s after its word"
+                detail = (
+                    f"run {run.request_id} started {late_s:.1f} s after draining began"
+                )
                 yield Violation("nothing new to what leaves", endpoint, detail)
 
 
-def _awake_s(life: Life, faults: Iterable[FaultSpan]) -> float:
+def _stop_duration_s(life: Life, faults: Iterable[FaultSpan]) -> float:
     """Return how long a planned stop took, without the time the VM was paused.
 
-    A paused process takes no signal before it goes on.
+    A paused process does not handle SIGTERM until it is resumed.
     """
     assert life.stopped_at is not None
     assert life.ended_at is not None
-    asleep_s = 0.0
-    awake_from = life.stopped_at
+    paused_s = 0.0
+    running_from = life.stopped_at
     for fault in sorted(faults, key=lambda fault: fault.began_at):
         if fault.name != PAUSED or fault.subject != life.vm:
             continue
-        asleep_from = max(fault.began_at, awake_from)
-        awake_from = max(awake_from, min(fault.ended_at, life.ended_at))
-        asleep_s += max(0.0, awake_from - asleep_from)
-    return life.ended_at - life.stopped_at - asleep_s
+        paused_from = max(fault.began_at, running_from)
+        running_from = max(running_from, min(fault.ended_at, life.ended_at))
+        paused_s += max(0.0, running_from - paused_from)
+    return life.ended_at - life.stopped_at - paused_s
 
 
 def _planned_stops(evidence: Evidence) -> Iterator[Violation]:
@@ -190,19 +192,23 @@
         if life.ended_at is None or life.killed_at is not None:
             continue
         if life.stopped_at is None:
-            yield Violation("lives", life.vm, f"ended by itself, {life.exit_code}")
+            yield Violation(
+                "lives", life.vm, f"exited unexpectedly, exit code {life.exit_code}"
+            )
         elif not life.began and life.exit_code == -signal.SIGTERM:
-            continue  # stopped before it could take a request or a signal
+            continue  # stopped before it could serve requests or handle signals
         elif life.exit_code != 0:
             yield Violation("planned stop", life.vm, f"exit code {life.exit_code}")
-        elif _awake_s(life, evidence.faults) > GRACE_S + STOP_SLACK_S:
-            yield Violation("planned stop", life.vm, "longer than the grace time")
+        elif _stop_duration_s(life, evidence.faults) > GRACE_S + STOP_SLACK_S:
+            yield Violation(
+                "planned stop", life.vm, "took longer than the grace period"
+            )
         else:
             yield from _cut_by_stop(life, evidence)
 
 
 def _cut_by_stop(life: Life, evidence: Evidence) -> Iterator[Violation]:
-    """Find answers that a planned stop cut off while nothing else was wrong."""
+    """Find responses cut off by a planned stop while no fault was active."""
     assert life.stopped_at is not None and life.ended_at is not None
     stop = (life.stopped_at, life.ended_at)
     if any(fault.overlaps(*stop) for fault in evidence.faults):
@@ -212,4 +218,6 @@
         during = attempt.ended_at >= stop[0] and attempt.sent_at <= stop[1]
         began = attempt.status == 200 and not attempt.whole
         if here and during and began and attempt.kind is not Kind.LONG:
-            yield Violation("planned stop", attempt.request_id, "its answer was cut")
+            yield Violation(
+                "planned stop", attempt.request_id, "its response was cut off"
+            )
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a soak, drawn from a seed and struck from outside the entry VMs."""
+"""Faults of a soak, drawn from a seed and injected from outside the entry VMs."""
 
 import asyncio
 import random
@@ -16,18 +16,18 @@
 
 LONGEST_FAULT_S = 4.0
 LONGEST_PAUSE_S = 1.0
-NOTICED_S = 3.0
-"""After connections fell silent all bounds hold again, as settings say."""
+DETECTION_S = 3.0
+"""Time to detect silent connections, as configured; all bounds hold afterwards."""
 FIRST_SILENCE_S = 8.0
-LEAVES_AFTER_S = 4.0
-"""From an endpoint's word that it leaves to its end: twice the time allowed for new
-requests, so that late ones are seen."""
+DRAIN_S = 4.0
+"""Time a draining endpoint still serves: twice the time allowed for new requests, so
+that late ones are recorded."""
 
-Strike = Callable[[], Awaitable[None]]
+Injection = Callable[[], Awaitable[None]]
 
 
 class FaultLane:
-    """One lane: strikes one fault after another for ever."""
+    """Injects random faults one after another."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self._site = site
         self._spans = spans
         self._rng = rng
-        self._strikes: list[Strike] = [
+        self._injections: list[Injection] = [
             self._kill,
             self._stop,
             self._stop_all_in_turn,
@@ -61,13 +61,12 @@
         spans: list[FaultSpan],
         rng: random.Random,
     ) -> "FaultLane":
-        """Return a lane that only lets engines start again under their ids.
+        """Return a lane that only restarts engines under the same id.
 
-        A lane of its own: the draws of the others, and with them the seeds that once
-        showed a fault, stay as they are.
+        A separate lane keeps the random sequences of the other lanes unchanged.
         """
         lane = cls(site, spans, rng)
-        lane._strikes = [lane._runner_starts_again]
+        lane._injections = [lane._runner_starts_again]
         return lane
 
     @classmethod
@@ -77,19 +76,19 @@
         spans: list[FaultSpan],
         rng: random.Random,
     ) -> "FaultLane":
-        """Return a lane in which open connections fall silent for good."""
+        """Return a lane that only silences open connections for good."""
         lane = cls(site, spans, rng)
-        lane._strikes = [lane._connections_fall_silent]
+        lane._injections = [lane._connections_fall_silent]
         return lane
 
     async def run(self) -> None:
-        """Strike for ever."""
+        """Inject faults until cancelled."""
         while True:
-            await self._rng.choice(self._strikes)()
+            await self._rng.choice(self._injections)()
             await asyncio.sleep(LONGEST_PAUSE_S * self._rng.random())
 
     async def end_all(self) -> None:
-        """End every fault; all VMs run."""
+        """End every fault and wait until all VMs are ready."""
         self._site.store.faults = StoreFaults()
         for vm in self._site.vms:
             vm.store.faults = LinkFaults()
@@ -102,7 +101,7 @@
         await self._site.wait_until_ready()
 
     async def _replace_leaving(self) -> None:
-        """Take away what still leaves, as its lane would have."""
+        """Replace endpoints that are still draining, as their lane would have."""
         site = self._site
         for runner in [r for r in site.runners if r.endpoint_id in site.leaving_at]:
             await site.replace_runner(runner)
@@ -129,7 +128,7 @@
             await self._replace(vm)
 
     async def _replace(self, vm: VMProcess) -> None:
-        """Stop as planned and start anew; the lock keeps lanes from starting two."""
+        """Stop as planned and restart; the lock keeps out the other lanes."""
         async with vm.lock:
             await vm.stop()
             await vm.start()
@@ -138,7 +137,7 @@
         vm = self._vm()
         async with self._span(PAUSED, vm.name):
             vm.signal(signal.SIGSTOP)
-            await self._last()
+            await self._wait_for_duration()
             vm.signal(signal.SIGCONT)
 
     # The store.
@@ -151,13 +150,13 @@
                 faults.delay_s = 0.3
             else:
                 faults.mode = mode
-            await self._last()
+            await self._wait_for_duration()
             faults.mode, faults.delay_s = "ok", 0.0
 
     async def _store_link(self) -> None:
         vm = self._vm()
         async with self._span("store link", vm.name):
-            await self._harm(vm.store)
+            await self._disturb_link(vm.store)
 
     async def _connections_fall_silent(self) -> None:
         """Silence the open connections of all VMs to the store, or to an endpoint."""
@@ -172,7 +171,7 @@
         async with self._span("open connections silent", subject):
             for proxy in proxies:
                 proxy.silence_open()
-            await asyncio.sleep(NOTICED_S)
+            await asyncio.sleep(DETECTION_S)
 
     async def _store_forgets(self) -> None:
         async with self._span("store forgets", "store"):
@@ -185,7 +184,7 @@
         site = self._site
         endpoint = self._rng.choice([*site.runners, *site.services])
         async with self._span("endpoint link", endpoint.endpoint_id):
-            await self._harm(site.proxy_by_endpoint[endpoint.endpoint_id])
+            await self._disturb_link(site.proxy_by_endpoint[endpoint.endpoint_id])
 
     async def _runner_misbehaves(self) -> None:
         runner = self._rng.choice(self._site.runners)
@@ -201,7 +200,7 @@
                 runner.faults.hang = True
             else:
                 runner.faults.event_s = 0.1
-            await self._last()
+            await self._wait_for_duration()
             runner.faults = EndpointFaults()
 
     async def _service_misbehaves(self) -> None:
@@ -209,7 +208,7 @@
         fault = self._rng.choice(["fail", "hang", "stray", "garble", "refuse"])
         async with self._span(f"service {fault}", service.endpoint_id):
             setattr(service.faults, fault, True)
-            await self._last()
+            await self._wait_for_duration()
             service.faults = EndpointFaults()
 
     async def _runner_crashes(self) -> None:
@@ -218,7 +217,7 @@
             await self._site.replace_runner(runner)
 
     async def _runner_starts_again(self) -> None:
-        await self._last()
+        await self._wait_for_duration()
         runner = self._rng.choice(self._site.runners)
         if runner.endpoint_id in self._site.leaving_at:
             return
@@ -226,13 +225,13 @@
             await self._site.restart_runner(runner)
 
     async def _endpoint_leaves(self) -> None:
-        """Let an endpoint leave as planned: it says so, serves on, and is replaced."""
+        """Let an endpoint leave as planned: it drains, then it is replaced."""
         site = self._site
         leaving = self._rng.choice([*site.runners, *site.services])
         if leaving.endpoint_id in site.leaving_at:
             return
         await site.mark_leaving(leaving)
-        await asyncio.sleep(LEAVES_AFTER_S)
+        await asyncio.sleep(DRAIN_S)
         if leaving in site.runners:
             await site.replace_runner(leaving)
         elif leaving in site.services:
@@ -245,34 +244,34 @@
             adapter = self._rng.choice(ADAPTERS)
             known = self._site.version_acks.get(adapter, [])
             version = known[-1][1] + 1 if known else 2
-            await self._site.name_version(adapter, version)
+            await self._site.publish_version(adapter, version)
             await self._site.change_configuration()
             await asyncio.sleep(0.2 * self._rng.random())
 
     # Helpers.
 
-    async def _harm(self, proxy: Proxy) -> None:
-        """Do one harm to a link, for a while."""
-        harm = self._rng.choice(["delay", "one way", "silence", "reset", "refuse"])
+    async def _disturb_link(self, proxy: Proxy) -> None:
+        """Apply one random fault to a link for a random time."""
+        fault = self._rng.choice(["delay", "one way", "silence", "reset", "refuse"])
         faults = proxy.faults
-        if harm == "delay":
+        if fault == "delay":
             faults.delay_s = 0.2
-        elif harm == "one way":
+        elif fault == "one way":
             faults.hold_answers = True
-        elif harm == "silence":
+        elif fault == "silence":
             faults.hold_requests = faults.hold_answers = True
-        elif harm == "refuse":
+        elif fault == "refuse":
             faults.refuse = True
             proxy.reset()
         else:
             proxy.reset()
-        await self._last()
+        await self._wait_for_duration()
         proxy.faults = LinkFaults()
-        if harm in ("one way", "silence"):
-            # What was held back is lost with its connection, as behind a partition.
+        if fault in ("one way", "silence"):
+            # Bytes held back are lost with their connection, as in a partition.
             proxy.reset()
 
-    async def _last(self) -> None:
+    async def _wait_for_duration(self) -> None:
         await asyncio.sleep(0.3 + LONGEST_FAULT_S * self._rng.random() ** 2)
 
     def _span(self, name: str, subject: str) -> "_Span":
@@ -280,7 +279,7 @@
 
 
 class _Span:
-    """Notes when a fault was on, also when its lane is ended meanwhile."""
+    """Records when a fault was active, also if its lane is cancelled meanwhile."""
 
     def __init__(self, spans: list[FaultSpan], name: str, subject: str) -> None:
         self._spans = spans
--- a/bench/soak_proxy.py
+++ b/bench/soak_proxy.py
@@ -7,7 +7,7 @@
 
 from bamboovale.standins.relay import RESET_ON_CLOSE
 
-HOLD_LOOK_S = 0.02
+HOLD_POLL_S = 0.02
 CHUNK_BYTES = 65536
 
 Address = tuple[str, int]
@@ -15,7 +15,7 @@
 
 @dataclass
 class LinkFaults:
-    """What the proxy does now; ``hold_*`` keeps bytes of one direction back."""
+    """Active faults of a proxy; ``hold_*`` holds back bytes of one direction."""
 
     delay_s: float = 0.0
     hold_requests: bool = False
@@ -24,7 +24,7 @@
 
 
 class Proxy:
-    """Passes connections on to one target."""
+    """Forwards connections to one target."""
 
     def __init__(self, target: Address) -> None:
         self.faults = LinkFaults()
@@ -42,18 +42,18 @@
         self.address = (host, port)
 
     def close(self) -> None:
-        """End every connection."""
+        """Stop listening and reset every connection."""
         if self._server is not None:
             self._server.close()
         self.reset()
 
     def reset(self) -> None:
-        """Reset every open connection; new ones are taken."""
+        """Reset every open connection; new ones are still accepted."""
         for writer in list(self._writers):
             _reset(writer)
 
     def silence_open(self) -> None:
-        """Pass nothing more on over open connections, for good; new ones work."""
+        """Stop forwarding on the open connections for good; new ones work."""
         self._silent_writers |= self._writers
 
     async def _accept(
@@ -79,7 +79,7 @@
         try:
             await asyncio.wait(pumps)
         except asyncio.CancelledError:
-            # The loop ends; the stream server logs a task that is cancelled as failed.
+            # On shutdown asyncio would log a cancelled handler as failed.
             return
         finally:
             self._writers -= ends
@@ -95,13 +95,13 @@
         *,
         answers: bool,
     ) -> None:
-        """Pass bytes on until one end closes; an abrupt end shows as a close."""
+        """Forward bytes until one end closes; a reset is forwarded as a close."""
         with contextlib.suppress(OSError):
             while data := await reader.read(CHUNK_BYTES):
                 if self.faults.delay_s:
                     await asyncio.sleep(self.faults.delay_s)
                 while writer in self._silent_writers or self._holds(answers=answers):
-                    await asyncio.sleep(HOLD_LOOK_S)
+                    await asyncio.sleep(HOLD_POLL_S)
                 writer.write(data)
                 await writer.drain()
         with contextlib.suppress(OSError, RuntimeError):
@@ -113,7 +113,7 @@
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """Close a connection by a reset instead of a proper end."""
+    """Close a connection with a TCP reset."""
     end = writer.get_extra_info("socket")
     if end is not None:
         with contextlib.suppress(OSError):
--- a/bench/soak_site.py
+++ b/bench/soak_site.py
@@ -21,18 +21,18 @@
 PEER_KEY = "soak-key-of-this-machine"
 READY_S = 20.0
 GRACE_S = 6
-"""As the settings name it; a stopping VM is killed after it."""
+"""Configured grace period; a stopping VM is killed after it."""
 ADAPTER_SLOTS = 3
-START_TOLD_S = 0.4
-"""From an engine's start under the id that it had to the record that tells of it: about
-a third of the time between two heartbeats."""
+RESTART_RECORD_DELAY_S = 0.4
+"""From an engine's restart under its id to its new record: about a third of the
+heartbeat interval."""
 
 
 @dataclass
 class Life:
-    """One process of an entry VM; times on the monotonic clock, None: not yet.
+    """One process of an entry VM; monotonic times, None until they happen.
 
-    ``began`` tells whether it got as far as to say that it had started.
+    ``began`` is true if the process logged that it had started.
     """
 
     vm: str
@@ -46,7 +46,7 @@
 
 @dataclass
 class VMProcess:
-    """One entry VM: its settings, its proxy to the store, its processes."""
+    """One entry VM: its settings, its proxy to the store and its processes."""
 
     name: str
     document: dict[str, Any]
@@ -58,20 +58,20 @@
 
     @property
     def callers(self) -> tuple[str, int]:
-        """Return where callers connect."""
+        """Return the host and port that callers connect to."""
         host, port = self.document["listen"]["front"].split(":")
         return host, int(port)
 
     @property
     def is_running(self) -> bool:
-        """Tell whether a process is there."""
+        """Tell whether the process is running."""
         return self.process is not None and self.process.returncode is None
 
     async def start(self) -> None:
-        """Start a process on the VM's settings."""
+        """Start a process with the VM's settings."""
         file = self.directory / f"{self.name}.toml"
         file.write_text(to_toml(self.document))
-        log = self._log_of(len(self.lives)).open("wb")
+        log = self._log_path(len(self.lives)).open("wb")
         program = [sys.executable, "-m", "bamboovale.routed_vm"]
         options = {
             "BAMBOOVALE_NODE_FILE": str(file),
@@ -88,7 +88,7 @@
         self.lives.append(Life(self.name, time.monotonic()))
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process, if it is there."""
+        """Send a signal to the process, if it is running."""
         if self.process is not None and self.is_running:
             self.process.send_signal(number)
 
@@ -97,7 +97,7 @@
         if self.is_running:
             self.lives[-1].killed_at = time.monotonic()
             self.signal(signal.SIGKILL)
-        await self._ended()
+        await self._wait_for_exit()
 
     async def stop(self) -> None:
         """Stop the process as planned, and kill it after the grace time."""
@@ -107,40 +107,40 @@
         self.signal(signal.SIGTERM)
         try:
             async with asyncio.timeout(GRACE_S):
-                await self._ended()
+                await self._wait_for_exit()
         except TimeoutError:
             await self.kill()
 
     async def finish(self) -> None:
-        """Wait for an end that was asked for, and start a new process."""
+        """Wait for a requested stop to end, then start a new process."""
         life = self.lives[-1]
         if life.stopped_at is not None and life.ended_at is None:
             try:
                 async with asyncio.timeout(GRACE_S):
-                    await self._ended()
+                    await self._wait_for_exit()
             except TimeoutError:
                 await self.kill()
         if not self.is_running:
-            await self._ended()
+            await self._wait_for_exit()
             await self.start()
 
-    async def _ended(self) -> None:
+    async def _wait_for_exit(self) -> None:
         if self.process is None:
             return
         code = await self.process.wait()
         life = self.lives[-1]
         if life.ended_at is None:
             life.ended_at, life.exit_code = time.monotonic(), code
-            log = self._log_of(len(self.lives) - 1).read_bytes()
+            log = self._log_path(len(self.lives) - 1).read_bytes()
             life.began = b'"event":"started"' in log
 
-    def _log_of(self, number: int) -> Path:
+    def _log_path(self, number: int) -> Path:
         return self.directory / f"{self.name}-{number}.log"
 
 
 @dataclass
 class SoakSite:
-    """Everything that faults strike and checks read."""
+    """The deployment that faults act on and checks read."""
 
     directory: Path
     store: PlatformStore
@@ -156,7 +156,7 @@
 
     @property
     def endpoints(self) -> list[PlatformEndpoint]:
-        """Return all endpoints that were ever there."""
+        """Return all endpoints, including removed ones."""
         return [*self.runners, *self.services, *self.gone]
 
     async def add_runner(self) -> None:
@@ -187,7 +187,7 @@
         await endpoint.register("ready")
 
     async def replace_runner(self, runner: PlatformRunner) -> None:
-        """Crash an engine with its streams; an empty one comes under another id."""
+        """Crash an engine with its streams and add an empty one under another id."""
         self.runners.remove(runner)
         self.gone.append(runner)
         self.proxy_by_endpoint[runner.endpoint_id].close()
@@ -196,24 +196,24 @@
         await self.add_runner()
 
     async def restart_runner(self, runner: PlatformRunner) -> None:
-        """Crash an engine with its streams; it is back at once, empty, under its id.
+        """Crash an engine with its streams and restart it, empty, under the same id.
 
-        Its record follows a little later, as a heartbeat does.
+        Its record is written a little later, as a heartbeat would be.
         """
         proxy = self.proxy_by_endpoint[runner.endpoint_id]
         runner.address = proxy.target
         await runner.start_again(time.time_ns() // 1_000_000, registers=False)
         runner.address = proxy.address
-        await asyncio.sleep(START_TOLD_S)
+        await asyncio.sleep(RESTART_RECORD_DELAY_S)
         await runner.register("ready")
 
     async def mark_leaving(self, endpoint: PlatformEndpoint) -> None:
-        """Let an endpoint say that it leaves; it serves on for a while."""
+        """Register an endpoint as draining; it keeps serving."""
         await endpoint.register("draining")
         self.leaving_at[endpoint.endpoint_id] = time.monotonic()
 
     async def replace_service(self, service: PlatformEndpoint) -> None:
-        """Take a plain endpoint away; another comes under another id."""
+        """Remove a plain endpoint and add one under another id."""
         self.services.remove(service)
         self.gone.append(service)
         await service.unregister()
@@ -221,21 +221,21 @@
         service.crash()
         await self.add_service()
 
-    async def name_version(self, adapter: str, version: int) -> None:
-        """Name a new version of an adapter."""
+    async def publish_version(self, adapter: str, version: int) -> None:
+        """Publish a new version of an adapter."""
         record = {"model": MODEL, "adapter": adapter, "version": version}
         await self.store.put("keyed.op", f"version/{MODEL}.{adapter}", record)
         acks = self.version_acks.setdefault(adapter, [])
         acks.append((time.monotonic(), version))
 
     async def change_configuration(self) -> None:
-        """Write the next configuration; its routes stay as they are."""
+        """Write the next configuration version with the same routes."""
         self.config_version += 1
         document = configuration(self.config_version)
         await self.store.put("keyed.op", "config", document)
 
     async def wait_until_ready(self) -> None:
-        """Wait until every VM says that it is ready; raises TimeoutError."""
+        """Wait until every VM reports ready; raises TimeoutError."""
         async with asyncio.timeout(READY_S):
             for vm in self.vms:
                 while not await is_ready(vm):
@@ -243,7 +243,7 @@
 
 
 async def is_ready(vm: VMProcess) -> bool:
-    """Tell whether an entry VM says that it takes callers."""
+    """Tell whether an entry VM reports that it is ready for callers."""
     host, port = vm.document["listen"]["ready"].split(":")
     with suppress(OSError, TimeoutError):
         async with asyncio.timeout(1.0):
@@ -262,7 +262,7 @@
     runners: int,
     services: int,
 ) -> AsyncIterator[SoakSite]:
-    """Run a deployment; none of its processes outlives the block."""
+    """Run a deployment; all its processes end with the block."""
     site = SoakSite(directory, PlatformStore())
     store_address = await site.store.listen("127.0.0.1")
     await site.store.put("keyed.op", "config", configuration())
@@ -295,7 +295,7 @@
 
 
 def to_toml(document: Mapping[str, Any]) -> str:
-    """Return a table of plain values and of tables of such as TOML."""
+    """Return a table of plain values and one level of nested tables as TOML."""
     lines = [
         f"{key} = {json.dumps(value)}"
         for key, value in document.items()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -35,15 +35,15 @@
 
 
 class TestChecks:
-    """Each check finds the fault that is planted for it, and nothing in a good run."""
+    """Each check finds its violation and reports nothing for a correct run."""
 
-    def test_a_good_run_breaks_nothing(self) -> None:
+    def test_a_correct_run_has_no_violations(self) -> None:
         assert promises(STREAM, CALL, lives=(STOPPED,)) == []
 
     def test_a_booking_that_ran_twice(self) -> None:
         assert promises(CALL, runs=(*RUNS, RUNS[1])) == ["at most once"]
 
-    def test_a_refusal_of_what_ran(self) -> None:
+    def test_a_refusal_of_a_request_that_ran(self) -> None:
         refused = replace(CALL, status=503, body=b"")
         assert promises(refused) == ["not run is true"]
 
@@ -74,7 +74,7 @@
         acks = {"a1": [(4.0, 2)]}
         assert promises(STREAM, version_acks=acks, faults=(down,)) == []
 
-    def test_an_engine_ordered_past_its_slots(self) -> None:
+    def test_an_engine_loaded_beyond_its_slots(self) -> None:
         assert promises(CALL, overfilled=("runner-1",)) == ["slots"]
 
     def test_a_run_on_an_endpoint_that_leaves(self) -> None:
@@ -121,7 +121,7 @@
 
 
 class TestProxy:
-    """The proxy does what its faults say."""
+    """The proxy applies its configured link faults."""
 
     def test_it_holds_back_delays_and_resets(self) -> None:
         async def test() -> None:
@@ -170,9 +170,9 @@
             silent[1].write(b"two")
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(silent[0].read(3), 0.2)
-            sound = await asyncio.open_connection(*proxy.address)
-            sound[1].write(b"two")
-            assert await asyncio.wait_for(sound[0].read(3), 1.0) == b"two"
+            working = await asyncio.open_connection(*proxy.address)
+            working[1].write(b"two")
+            assert await asyncio.wait_for(working[0].read(3), 1.0) == b"two"
             proxy.close()
             server.close()
 
@@ -180,7 +180,7 @@
 
 
 class TestSettingsFile:
-    """The soak writes what the platform would."""
+    """The soak writes its settings as TOML."""
 
     def test_tables_and_values(self) -> None:
         text = to_toml({"name": "vm", "ports": [1, 2], "bounds": {"fenced": True}})
@@ -188,10 +188,10 @@
 
 
 class TestSoak:
-    """Real processes under faults, short enough for every run of the tests.
+    """Short soaks of real processes under faults, with fixed seeds.
 
-    Seed 2 found an old version that ran where an engine had lost its owner, and a
-    process that was stopped while it started.
+    Seed 2 covers an old version that ran on an engine without an owner, and a process
+    that was stopped while it started.
     """
 
     @pytest.mark.parametrize(
