--- a/bench/checker.py
+++ b/bench/checker.py
@@ -1,7 +1,7 @@
-"""Judges a history: one small check for each promise of the brief.
+"""Checks a history: one check for each promise.
 
 A check returns violations with the events that show them. Checks only read what
-callers, endpoints, the VM list and the log recorded, never the product's own view.
+callers, endpoints, the VM list and the log recorded, not what entry VMs report.
 """
 
 from collections import defaultdict
@@ -24,14 +24,14 @@
 )
 from bench.violations import Bounds, Check, Promise, Violation
 
-# Connections of a killed VM end, as its callers see it, within this time.
+# Callers see the connections to a killed VM end within this time.
 FAULT_MARGIN_S = 1.0
 UNTYPED = "untyped"  # code of an error without the documented JSON body
 EVICTED = "evicted"  # the engine's reason for the end of such a run
 
 
 def check_right_version(history: History, bounds: Bounds) -> Iterator[Violation]:
-    """Find runs on a version not in force, and answers that name another one."""
+    """Find runs on a version not in effect, and answers that name another version."""
     edits_by_entry: dict[str, list[Edit]] = defaultdict(list)
     for edit in history.of(Edit):
         edits_by_entry[edit.entry].append(edit)
@@ -54,17 +54,17 @@
 
 
 def _wrong_version(start: RunStarted, edits: list[Edit], bounds: Bounds) -> str:
-    """Return why this run's version was not in force, or an empty string."""
-    named = [
+    """Return why this run's version was not in effect, or an empty string."""
+    candidates = [
         edit
         for edit in edits
         if edit.lora_name == start.lora_name
         and edit.accepted is not False
         and edit.sent_at <= start.at
     ]
-    if not named:
-        return "no edit had named it"
-    newest = max(named, key=lambda edit: (edit.accepted is None, edit.revision))
+    if not candidates:
+        return "no edit set this version"
+    newest = max(candidates, key=lambda edit: (edit.accepted is None, edit.revision))
     if newest.accepted is None:
         return ""
     for later in edits:
@@ -79,7 +79,7 @@
         if received.outcome != Outcome.ANSWERED or not received.lora_name:
             continue
         sent = history.sent_by_request_id.get(received.request_id)
-        # A repeat of a keyed request may be answered from its first run.
+        # A retry of a keyed request may be answered from its first run.
         starts = history.starts_of_job(sent.job) if sent else []
         ran = {start.lora_name for start in starts if isinstance(start, RunStarted)}
         if received.lora_name not in ran:
@@ -93,34 +93,36 @@
 def check_no_eviction(history: History, bounds: Bounds) -> Iterator[Violation]:
     """Find adapters unloaded while the engine ran a request on them."""
     del bounds
-    unloads_by_place: dict[tuple[str, str, str], list[AdapterOrder]] = defaultdict(list)
+    unloads_by_adapter: dict[tuple[str, str, str], list[AdapterOrder]] = defaultdict(
+        list
+    )
     for order in history.of(AdapterOrder):
         if order.order == "unload" and order.done:
-            place = (order.endpoint, order.boot_id, order.lora_name)
-            unloads_by_place[place].append(order)
+            loaded_adapter = (order.endpoint, order.boot_id, order.lora_name)
+            unloads_by_adapter[loaded_adapter].append(order)
     for run in history.runs:
         started = run.started
-        place = (started.endpoint, started.boot_id, started.lora_name)
+        loaded_adapter = (started.endpoint, started.boot_id, started.lora_name)
         if run.ended and run.ended.reason == EVICTED:
             yield Violation(
                 Promise.NO_EVICTION,
-                f"{started.request_id} ended with its adapter {started.lora_name}",
+                f"{started.request_id} ended by the eviction of {started.lora_name}",
                 (started, run.ended),
             )
-        for unload in unloads_by_place.get(place, []):
+        for unload in unloads_by_adapter.get(loaded_adapter, []):
             if run.covers(unload.at):
                 events = (
                     (started, unload, run.ended) if run.ended else (started, unload)
                 )
                 yield Violation(
                     Promise.NO_EVICTION,
-                    f"{started.lora_name} unloaded under {started.request_id}",
+                    f"{started.lora_name} unloaded during {started.request_id}",
                     events,
                 )
 
 
 def check_own_answer(history: History, bounds: Bounds) -> Iterator[Violation]:
-    """Find answers cut short, foreign, or unlike an earlier answer to the same key."""
+    """Find incomplete or foreign answers, and different answers to the same key."""
     del bounds
     first_by_key: dict[str, Received] = {}
     for received in history.of(Received):
@@ -145,7 +147,7 @@
 
 
 def check_not_run(history: History, bounds: Bounds) -> Iterator[Violation]:
-    """Find requests told "not run" that an endpoint ran."""
+    """Find requests answered "not run" that an endpoint ran."""
     del bounds
     for received in history.of(Received):
         if received.outcome != Outcome.NOT_RUN:
@@ -154,13 +156,13 @@
         if starts:
             yield Violation(
                 Promise.NOT_RUN,
-                f"{received.request_id} was told not run ({received.code}) and ran",
+                f"{received.request_id} was answered not run ({received.code}) but ran",
                 (*starts, received),
             )
 
 
 def check_at_most_once(history: History, bounds: Bounds) -> Iterator[Violation]:
-    """Find non-idempotent jobs, all tries taken together, that ran twice."""
+    """Find non-idempotent jobs that ran more than once over all their tries."""
     del bounds
     for job, sends in history.sends_by_job.items():
         if sends[0].idempotent:
@@ -175,7 +177,7 @@
 
 
 def check_leaving(history: History, bounds: Bounds) -> Iterator[Violation]:
-    """Find runs that began at an endpoint long after it was said to be leaving."""
+    """Find runs that started at an endpoint too long after it was marked leaving."""
     leaving_by_endpoint: dict[str, EndpointState] = {}
     for event in history.events:
         if isinstance(event, EndpointState):
@@ -189,13 +191,13 @@
         if leaving and event.at > leaving.at + bounds.leaving_s:
             yield Violation(
                 Promise.LEAVING,
-                f"{event.request_id} began {event.at - leaving.at:.2f} s after leaving",
+                f"{event.request_id} ran {event.at - leaving.at:.2f} s after leaving",
                 (leaving, event),
             )
 
 
 def check_planned_stop(history: History, bounds: Bounds) -> Iterator[Violation]:
-    """Find requests cut off by a planned stop, and stops that did not end well."""
+    """Find requests cut off by a planned stop, and stops with an error exit code."""
     del bounds
     stops_by_vm: dict[str, list[PlannedStop]] = defaultdict(list)
     for stop in history.of(PlannedStop):
@@ -220,10 +222,10 @@
 
 
 def check_answered(history: History, bounds: Bounds) -> Iterator[Violation]:
-    """Find requests lost: no final answer though it was due.
+    """Find requests without the final answer that they should have received.
 
-    A killed or frozen entry VM may lose the requests it was answering; their callers'
-    repeats elsewhere must come to a final answer, unless repeating was not allowed.
+    A killed or frozen entry VM may lose its requests in flight; the retries of their
+    callers must get a final answer, unless retrying is not allowed.
     """
     del bounds
     faults_by_vm: dict[str, list[EntryFault]] = defaultdict(list)
@@ -239,7 +241,7 @@
             elif received.code.startswith(UNTYPED):
                 yield Violation(
                     Promise.ANSWERED,
-                    f"{sent.request_id} got {received.code}, not a typed answer",
+                    f"{sent.request_id} got {received.code}, an untyped error",
                     (sent, received),
                 )
             elif received.outcome == Outcome.BROKEN and not any(
@@ -253,9 +255,9 @@
                     (sent, received),
                 )
         last = history.received_by_request_id.get(sends[-1].request_id)
-        repeatable = sends[-1].idempotent or sends[-1].key
+        retryable = sends[-1].idempotent or sends[-1].key
         unfinished = (Outcome.BROKEN, Outcome.UNREACHED)
-        if last and last.outcome in unfinished and repeatable:
+        if last and last.outcome in unfinished and retryable:
             yield Violation(
                 Promise.ANSWERED, f"{job} got no final answer", (*sends, last)
             )
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -1,8 +1,7 @@
-"""Faults that the fuzzing switches on and off; any two may be on at once.
+"""Faults that the fuzzer switches on and off; any two may be active at once.
 
-A fault has a name, a target and how long it lasts; ``begin`` and ``end`` act on the
-cluster. Each lane of the fuzzing has targets of its own, so that two lanes never
-fight over one process.
+``begin`` and ``end`` of a fault act on the cluster. Each fuzzing lane has its own
+targets, so that two lanes never act on the same process.
 """
 
 import random
@@ -25,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Bench:
-    """What faults act on."""
+    """The cluster, operator and load that faults act on."""
 
     cluster: Cluster
     operator: Operator
@@ -34,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Targets:
-    """The members that one lane may harm."""
+    """The ids of the members that one lane may disturb."""
 
     entries: Sequence[str]
     engines: Sequence[str]
@@ -42,18 +41,18 @@
 
 
 class Fault(Protocol):
-    """One fault, on from ``begin`` to ``end``."""
+    """One fault, active from ``begin`` to ``end``."""
 
     def begin(self) -> None:
         """Switch the fault on."""
 
     def end(self) -> None:
-        """Switch it off and restore what it harmed."""
+        """Switch the fault off and restore its target."""
 
 
 @dataclass(frozen=True)
 class SwitchedFault:
-    """A fault of a stand-in, switched over HTTP."""
+    """A fault that a stand-in simulates, set over HTTP."""
 
     bench: Bench
     standin: str
@@ -75,33 +74,33 @@
 
 @dataclass(frozen=True)
 class Killed:
-    """An entry VM is killed; another starts under its id and address."""
+    """An entry VM is killed; a new one starts with its id and address."""
 
     bench: Bench
     entry: str
 
     def begin(self) -> None:
-        """Kill it."""
+        """Kill the entry VM."""
         self.bench.cluster.kill_entry(self.entry)
 
     def end(self) -> None:
-        """Start it anew, with nothing kept."""
+        """Restart it without any saved state."""
         restart_entry(self.bench, self.entry)
 
 
 @dataclass(frozen=True)
 class Frozen:
-    """An entry VM is paused, perhaps past its leases, and goes on unaware."""
+    """An entry VM is suspended, possibly past its leases, and resumes unaware."""
 
     bench: Bench
     entry: str
 
     def begin(self) -> None:
-        """Pause it."""
+        """Suspend the entry VM."""
         self.bench.cluster.freeze_entry(self.entry)
 
     def end(self) -> None:
-        """Let it go on."""
+        """Resume the entry VM."""
         self.bench.cluster.thaw_entry(self.entry)
 
 
@@ -113,7 +112,7 @@
     entry: str
 
     def begin(self) -> None:
-        """Stop it; returns once it has ended."""
+        """Stop the entry VM and wait for its exit."""
         self.bench.cluster.stop_entry(self.entry)
 
     def end(self) -> None:
@@ -123,34 +122,34 @@
 
 @dataclass(frozen=True)
 class CutFromPeers:
-    """An entry VM is cut from its peers, one way or both; the platform answers it."""
+    """An entry VM is cut from its peers, one way or both, but not from the platform."""
 
     bench: Bench
     entry: str
     way: CutWay
 
     def begin(self) -> None:
-        """Cut its links."""
+        """Cut the links to its peers."""
         self.bench.cluster.cut_from_peers(self.entry, self.way)
 
     def end(self) -> None:
-        """Link it again."""
+        """Restore the links."""
         self.bench.cluster.cut_from_peers(self.entry, None)
 
 
 @dataclass(frozen=True)
 class Isolated:
-    """An entry VM is cut from the log, the VM list and its peers; callers reach it."""
+    """An entry VM is cut from the log, VM list and peers; callers can reach it."""
 
     bench: Bench
     entry: str
 
     def begin(self) -> None:
-        """Cut it off."""
+        """Cut the entry VM off."""
         self._cut([self.bench.cluster.entry_by_id[self.entry].address], CutWay.BOTH)
 
     def end(self) -> None:
-        """Link it again."""
+        """Restore the links."""
         self._cut(None, None)
 
     def _cut(self, sources: list[str] | None, way: CutWay | None) -> None:
@@ -162,30 +161,30 @@
 
 @dataclass(frozen=True)
 class Leaving:
-    """An endpoint leaves with work queued, and comes back."""
+    """An endpoint is marked as leaving while it has work queued, then as live."""
 
     bench: Bench
     endpoint: str
 
     def begin(self) -> None:
-        """Mark it as leaving."""
+        """Mark the endpoint as leaving."""
         self.bench.cluster.set_endpoint_leaving(self.endpoint, leaving=True)
 
     def end(self) -> None:
-        """Mark it as live."""
+        """Mark the endpoint as live."""
         self.bench.cluster.set_endpoint_leaving(self.endpoint, leaving=False)
 
 
 @dataclass(frozen=True)
 class RacingEdits:
-    """Operators edit one entry at once, through different entry VMs."""
+    """Concurrent edits of one entry, through different entry VMs."""
 
     bench: Bench
     adapter: str
     versions: tuple[str, ...]
 
     def begin(self) -> None:
-        """Send the edits side by side."""
+        """Send the edits concurrently."""
         entries = self.bench.cluster.live_entries()
         threads = [
             threading.Thread(
@@ -200,27 +199,27 @@
             thread.join()
 
     def end(self) -> None:
-        """Leave the edits in force."""
+        """Do nothing: the edits stay in effect."""
 
 
 @dataclass(frozen=True)
 class CrashPrompts:
-    """Requests that crash each engine that runs them; their caller repeats them."""
+    """Requests that crash each engine that runs them; callers retry them."""
 
     bench: Bench
     source: random.Random
 
     def begin(self) -> None:
-        """Send them."""
+        """Send the requests."""
         for _ in range(CRASH_PROMPT_JOBS):
             self.bench.load.send_extra(JobKind.STREAM, self.source, CRASH_MARKER)
 
     def end(self) -> None:
-        """Nothing is left to restore."""
+        """Do nothing: there is nothing to restore."""
 
 
 def restart_entry(bench: Bench, entry_id: str) -> EntryVM:
-    """Start an entry VM under an id that was used before; callers learn of it."""
+    """Start an entry VM under an earlier id and add its address to the callers."""
     entry = bench.cluster.start_entry(entry_id)
     bench.load.add_seed(entry.callers_address)
     return entry
@@ -264,7 +263,7 @@
     return Leaving(bench, source.choice([*targets.engines, *targets.services]))
 
 
-def _racing(bench: Bench, targets: Targets, source: random.Random) -> Fault:
+def _racing_edits(bench: Bench, targets: Targets, source: random.Random) -> Fault:
     del targets
     versions = tuple(str(source.randint(2, 9)) for _ in range(RACING_EDITS))
     return RacingEdits(bench, source.choice(ADAPTERS), versions)
@@ -287,8 +286,8 @@
     return True
 
 
-def _times(most: int) -> Callable[[random.Random], object]:
-    return lambda source: source.randint(1, most)
+def _up_to(maximum: int) -> Callable[[random.Random], object]:
+    return lambda source: source.randint(1, maximum)
 
 
 MAKE_FAULT_BY_NAME: dict[str, MakeFault] = {
@@ -300,21 +299,21 @@
     "entry isolated": _entry_fault(Isolated),
     "entry cut from VM list": _cut_from("vms"),
     "engine crashed": _switched("engine", "crash", _always),
-    "engine fails loads": _switched("engine", "fail_loads", _times(4)),
-    "engine drops answers": _switched("engine", "drop_answers", _times(3)),
-    "engine mixes up answers": _switched("engine", "wrong_answers", _times(3)),
+    "engine fails loads": _switched("engine", "fail_loads", _up_to(4)),
+    "engine drops answers": _switched("engine", "drop_answers", _up_to(3)),
+    "engine mixes up answers": _switched("engine", "wrong_answers", _up_to(3)),
     "engine slow": _switched("engine", "slow_factor", lambda source: 4.0),
-    "service drops after run": _switched("service", "drop_after_run", _times(3)),
-    "service drops before run": _switched("service", "drop_before_run", _times(3)),
+    "service drops after run": _switched("service", "drop_after_run", _up_to(3)),
+    "service drops before run": _switched("service", "drop_before_run", _up_to(3)),
     "service refuses": _switched("service", "refuse_share", _share(0.2, 0.8)),
     "log down": _switched("log", "down", _always),
     "log slow": _switched("log", "slow_ms", lambda source: source.randint(50, 800)),
     "log loses answers": _switched("log", "lose_answers", _share(0.1, 0.6)),
-    "log expires early": _switched("log", "retention_records", _times(20)),
+    "log expires early": _switched("log", "retention_records", _up_to(20)),
     "VM list stale": _switched("vms", "stale", _always),
     "VM list down": _switched("vms", "down", _always),
     "weight store down": _switched("weights", "down", _always),
     "endpoint leaving": _leaving,
-    "edits race": _racing,
+    "edits race": _racing_edits,
     "crash prompts": _crash_prompts,
 }
--- a/bench/fuzz.py
+++ b/bench/fuzz.py
@@ -1,8 +1,7 @@
 """``make fuzz SECONDS=600 SEED=n``: real processes under random faults, two at once.
 
-The seed fixes which faults come in which order with which targets; how they fall
-together with the load is up to the machine. Exits 1 on any broken promise, and prints
-the shortest list of events that shows it.
+The seed fixes the order and the targets of the faults, but not their timing relative
+to the load. Exits 1 on any violation and prints the events that show it.
 """
 
 import argparse
@@ -28,7 +27,7 @@
 LANES = 2
 LONGEST_FAULT_S = 6.0
 LONGEST_PAUSE_S = 2.0
-# After the last fault everything must serve again within this time.
+# Every entry VM must serve again within this time after the last fault.
 RECOVERY_S = 30.0
 SETTLE_S = 6.0
 CONFIG = ClusterConfig(
@@ -41,7 +40,7 @@
 
 @dataclass(frozen=True)
 class FuzzConfig:
-    """How long, from which seed, and which faults (all by default)."""
+    """Duration, seed, faults (all by default), number of callers and cluster."""
 
     seconds: float = 60.0
     seed: int = 1
@@ -51,7 +50,7 @@
 
 
 class Lane:
-    """Draws one fault after another, each on for a while."""
+    """Injects random faults one after another."""
 
     def __init__(
         self,
@@ -68,27 +67,30 @@
         self.failure: Exception | None = None
 
     def run(self, until: float) -> None:
-        """Draw faults until that moment of the monotonic clock."""
+        """Inject faults until ``until`` on the monotonic clock."""
         try:
             while time.monotonic() < until:
                 time.sleep(self._random.uniform(0.1, LONGEST_PAUSE_S))
-                self._strike()
-        except Exception as error:  # a broken bench must not look like a passed run
+                self._inject_fault()
+        except Exception as error:  # a failing fault must not look like a passed run
             self.failure = error
 
-    def _strike(self) -> None:
+    def _inject_fault(self) -> None:
         name = self._random.choice(self._config.faults)
         make = MAKE_FAULT_BY_NAME[name]
         fault: Fault = make(self._bench, self._targets, self._random)
-        lasts_s = self._random.uniform(0.2, LONGEST_FAULT_S)
-        began = time.time()
-        print(f"{began:.3f} lane {self._number}: {name} {lasts_s:.1f} s", flush=True)
+        duration_s = self._random.uniform(0.2, LONGEST_FAULT_S)
+        started_at = time.time()
+        print(
+            f"{started_at:.3f} lane {self._number}: {name} {duration_s:.1f} s",
+            flush=True,
+        )
         fault.begin()
         try:
-            time.sleep(lasts_s)
+            time.sleep(duration_s)
         finally:
             fault.end()
-            span = FaultSpan(began, name, _describe(fault), until=time.time())
+            span = FaultSpan(started_at, name, _describe(fault), until=time.time())
             self._bench.cluster.recorder.record(span)
 
 
@@ -102,7 +104,7 @@
 
 
 def run_fuzz(config: FuzzConfig, cluster: Cluster) -> tuple[Verdict, History]:
-    """Fuzz a cluster that is ready, and judge it."""
+    """Fuzz a ready cluster; return the verdict and the history."""
     operator = Operator(cluster)
     operator.publish(build_catalogue())
     operator.wait_until_everywhere(operator.read_revision(cluster.live_entries()[0]))
@@ -139,7 +141,7 @@
 
 
 def _share_targets(cluster: Cluster) -> list[Targets]:
-    """Deal the members out to the lanes, so that no two harm the same one."""
+    """Divide the members among the lanes, so that no two share a target."""
     entries = sorted(cluster.entry_by_id)
     ids = sorted(cluster.standin_by_id)
     engines = [name for name in ids if cluster.standin_by_id[name].kind == "engine"]
@@ -151,14 +153,14 @@
 
 
 def _wait_for_recovery(cluster: Cluster) -> None:
-    """Wait until every entry VM serves again, then let the load go on for a while."""
+    """Wait until every entry VM serves again, then keep the load on for a while."""
     for entry in cluster.live_entries():
         cluster.wait_until_ready(entry, RECOVERY_S)
     time.sleep(SETTLE_S)
 
 
 def describe_with_faults(violation: Violation, history: History) -> str:
-    """Return a violation with the faults that were on while it came about."""
+    """Return a violation with the faults active during or shortly before it."""
     first = min(event.at for event in violation.events)
     last = max(event.at for event in violation.events)
     spans = [
--- a/bench/history.py
+++ b/bench/history.py
@@ -1,7 +1,7 @@
-"""One history of a concurrent run: what callers, endpoints and the log saw.
+"""The history of a concurrent run, as recorded by callers, endpoints and the log.
 
-Every event carries ``at``, wall-clock seconds of the one machine that all processes
-of a bench run share, so that events of different processes can be compared.
+Every event has a wall-clock time ``at``. All processes of a bench run share one
+machine, so that times of different processes can be compared.
 """
 
 import re
@@ -13,19 +13,19 @@
 from functools import cached_property
 from typing import TypeVar
 
-# Callers number their jobs and the tries of each; an entry VM may append a suffix.
+# Job and try number of a caller; an entry VM may append a suffix.
 REQUEST_ID_PATTERN = re.compile(r"job\d+t\d+")
 
 
 class Outcome(StrEnum):
-    """What one send came to, as its caller saw it."""
+    """Outcome of one send, as its caller saw it."""
 
     ANSWERED = "answered"
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"  # outcome_unknown, or an error that may follow a run
     BROKEN = "broken"  # the connection ended before the answer did
     UNREACHED = "unreached"  # no connection: nothing was sent
-    HUNG_UP = "hung_up"  # the caller itself closed the connection
+    HUNG_UP = "hung_up"  # the caller closed the connection
 
 
 @dataclass(frozen=True)
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class Received(Event):
-    """What a try came to; ``defect`` says how an answer is not whole or not its own."""
+    """Outcome of a try; ``defect`` describes an incomplete or foreign answer."""
 
     request_id: str
     outcome: Outcome
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class RunStarted(Event):
-    """An engine began to run a request, or went on with one (``again``)."""
+    """An engine started a run, or resumed one (``again``)."""
 
     endpoint: str
     boot_id: str
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True)
 class EndpointState(Event):
-    """The VM list was told that an endpoint is leaving, or live again."""
+    """An endpoint was marked as leaving or live in the VM list."""
 
     endpoint: str
     leaving: bool
@@ -129,7 +129,7 @@
 
 @dataclass(frozen=True)
 class EntryFault(Event):
-    """An entry VM was killed or frozen; it may lose what it answers ``until`` then."""
+    """An entry VM was killed or frozen; it may lose its requests until ``until``."""
 
     entry_vm: str
     fault: str
@@ -138,7 +138,7 @@
 
 @dataclass(frozen=True)
 class FaultSpan(Event):
-    """A fault was on from ``at`` to ``until``; for the reader, checks ignore it."""
+    """A fault was active from ``at`` to ``until``; only printed, not checked."""
 
     name: str
     target: str
@@ -147,7 +147,10 @@
 
 @dataclass(frozen=True)
 class Edit(Event):
-    """One entry's part of a catalogue edit, answered ``at``; None: outcome unknown."""
+    """An edit of one catalogue entry, answered ``at``.
+
+    ``accepted`` is None if the outcome is unknown.
+    """
 
     sent_at: float
     entry: str
@@ -159,7 +162,7 @@
 
 @dataclass(frozen=True)
 class StateRead(Event):
-    """The catalogue as one entry VM (of one incarnation) holds it."""
+    """The catalogue that one incarnation of an entry VM holds."""
 
     entry_vm: str
     incarnation: int
@@ -176,7 +179,7 @@
     ended: RunEnded | None
 
     def covers(self, moment: float) -> bool:
-        """Tell whether the run was in progress at that moment."""
+        """Tell whether the run was in progress at a time."""
         if moment <= self.started.at:
             return False
         return self.ended is None or moment < self.ended.at
@@ -186,7 +189,7 @@
 
 
 class Recorder:
-    """Takes events from many threads."""
+    """Thread-safe recorder of events."""
 
     def __init__(self) -> None:
         self._events: list[Event] = []
@@ -204,7 +207,7 @@
 
 
 class History:
-    """All events of one bench run, ordered by time, with the views checks need."""
+    """All events of one bench run, ordered by time, with indexes for the checks."""
 
     def __init__(self, events: Iterable[Event]) -> None:
         self.events = sorted(events, key=lambda event: event.at)
@@ -220,7 +223,7 @@
 
     @cached_property
     def received_by_request_id(self) -> dict[str, Received]:
-        """Return what each send came to, by its request id."""
+        """Return the outcome of each send by its request id."""
         return {received.request_id: received for received in self.of(Received)}
 
     @cached_property
@@ -245,7 +248,7 @@
 
     @cached_property
     def starts_by_request_id(self) -> dict[str, list[RunStarted | ServiceRun]]:
-        """Return all runs at endpoints by the request id that their caller gave."""
+        """Return all runs at endpoints by the caller's request id."""
         starts: dict[str, list[RunStarted | ServiceRun]] = defaultdict(list)
         for event in self.events:
             if isinstance(event, RunStarted) and event.again:
@@ -255,7 +258,7 @@
         return dict(starts)
 
     def starts_of_job(self, job: str) -> list[RunStarted | ServiceRun]:
-        """Return every run at an endpoint that any try of this job led to."""
+        """Return the runs at endpoints of all tries of a job."""
         starts: list[RunStarted | ServiceRun] = []
         for sent in self.sends_by_job.get(job, []):
             starts += self.starts_by_request_id.get(sent.request_id, [])
--- a/bench/verdict.py
+++ b/bench/verdict.py
@@ -1,4 +1,4 @@
-"""Sums up a history as the demo and the fuzzing print it."""
+"""Summarizes a history for the output of the demo and the fuzzer."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -15,9 +15,9 @@
 
 @dataclass(frozen=True)
 class Verdict:
-    """How the jobs ended, and which promises were broken.
+    """Outcomes of the jobs and the violations found.
 
-    A job whose caller hung up is no part of the sums: nobody took its answer.
+    Jobs whose caller hung up are not counted as sent.
     """
 
     outcomes: Counter[Outcome]
@@ -25,7 +25,7 @@
 
     @classmethod
     def from_history(cls, history: History, bounds: Bounds | None = None) -> "Verdict":
-        """Judge a history."""
+        """Check a history and count the outcomes of its jobs."""
         outcomes: Counter[Outcome] = Counter()
         for sends in history.sends_by_job.values():
             last = history.received_by_request_id.get(sends[-1].request_id)
@@ -34,21 +34,21 @@
 
     @property
     def sent(self) -> int:
-        """Return the number of jobs whose callers took the answer."""
+        """Return the number of jobs whose callers waited for the answer."""
         return self.outcomes.total() - self.outcomes[Outcome.HUNG_UP]
 
     @property
     def unknown(self) -> int:
-        """Return the jobs whose callers know that the outcome is unknown to them."""
+        """Return the number of jobs whose outcome their callers do not know."""
         return self.outcomes[Outcome.UNKNOWN] + self.outcomes[Outcome.BROKEN]
 
     def count(self, promises: Iterable[Promise]) -> int:
         """Return how many violations are of these promises."""
-        wanted = frozenset(promises)
-        return sum(violation.promise in wanted for violation in self.violations)
+        selected = frozenset(promises)
+        return sum(violation.promise in selected for violation in self.violations)
 
     def summarize(self, title: str) -> str:
-        """Return the one line by which a run is judged."""
+        """Return a one-line summary of the run."""
         doubled = self.count(DOUBLED_PROMISES)
         lost = self.count(LOST_PROMISES)
         wrong = len(self.violations) - doubled - lost
@@ -62,10 +62,10 @@
 
     @staticmethod
     def count_stale_orders(history: History) -> int:
-        """Count orders of former lease holders that engines carried out.
+        """Count orders of former lease holders that engines executed.
 
-        Engines that ignore fencing numbers leave this window open; what it costs shows
-        as a violation, the orders alone are none.
+        Engines that ignore fencing numbers execute them. The orders themselves are not
+        violations; their effects may be.
         """
         highest_by_boot: dict[tuple[str, str], int] = {}
         stale = 0
--- a/bench/violations.py
+++ b/bench/violations.py
@@ -1,4 +1,4 @@
-"""The promises, and what is reported when one is broken."""
+"""The checked promises, and the violation reported when one is broken."""
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
@@ -6,15 +6,15 @@
 
 from bench.history import Event, History
 
-# An accepted edit is in force everywhere within this time, also on a VM that is cut
-# from the log: such a VM refuses rather than serve an older version for longer.
+# An accepted edit takes effect on every entry VM within this time. A VM cut from the
+# log refuses requests rather than serve an older version for longer.
 VERSION_BOUND_S = 5.0
-# "Within a few seconds": the VM list's lag plus the poll of it.
+# Covers the delay of the VM list and the interval between two polls of it.
 LEAVING_BOUND_S = 5.0
 
 
 class Promise(StrEnum):
-    """What must always hold, in the order of the brief; the last is the demo's."""
+    """A property that must hold in every run."""
 
     RIGHT_VERSION = "every request runs on the adapter and version of its entry"
     NO_EVICTION = "no adapter is evicted under a running request"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """How long what was decided may take to hold everywhere, in seconds."""
+    """Longest time until a change takes effect on all entry VMs, in seconds."""
 
     version_s: float = VERSION_BOUND_S
     leaving_s: float = LEAVING_BOUND_S
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class Violation:
-    """A broken promise and the shortest list of events that shows it."""
+    """A broken promise and the events that show it."""
 
     promise: Promise
     message: str
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""The history checker finds a planted fault for each promise and passes clean runs."""
+"""The checker finds a violation of each promise and accepts correct histories."""
 
 import pytest
 
@@ -79,14 +79,14 @@
     received(11.1, lora_name=V1),
 ]
 
-PLANTED: list[tuple[str, set[Promise], list[Event]]] = [
+VIOLATING: list[tuple[str, set[Promise], list[Event]]] = [
     (
         "ran on a version that was replaced long before",
         {Promise.RIGHT_VERSION},
         [FIRST_EDIT, edit(3.0, V2, 2), *WHOLE_RUN[1:]],
     ),
     (
-        "ran on a version that no edit named",
+        "ran on a version that no edit set",
         {Promise.RIGHT_VERSION},
         WHOLE_RUN[1:],
     ),
@@ -101,17 +101,17 @@
         [*WHOLE_RUN, unload(10.5)],
     ),
     (
-        "the engine ends a run with its adapter",
+        "the engine evicts the adapter of a run",
         {Promise.NO_EVICTION},
         [*WHOLE_RUN[:3], ended(10.9, reason="evicted"), *WHOLE_RUN[4:]],
     ),
     (
-        "answer with another's tokens",
+        "answer with tokens of another request",
         {Promise.OWN_ANSWER},
         [*WHOLE_RUN[:-1], received(11.1, lora_name=V1, defect="token 3 is foreign")],
     ),
     (
-        "a repeat with the same key gets another answer",
+        "a retry with the same key gets a different answer",
         {Promise.OWN_ANSWER},
         [
             sent(1.0, "job1t0", key="k", **CALL),
@@ -122,12 +122,12 @@
         ],
     ),
     (
-        "told not run after it ran",
+        "answered not run after it ran",
         {Promise.NOT_RUN},
         [*WHOLE_RUN[:-1], received(11.1, outcome=Outcome.NOT_RUN)],
     ),
     (
-        "a keyed call runs for its first send and for its repeat",
+        "a keyed call runs for its first send and for its retry",
         {Promise.AT_MOST_ONCE},
         [
             sent(1.0, "job1t0", key="k", **CALL),
@@ -170,12 +170,12 @@
         [edit(2.0, V2, 2), state(3.0, "e1", 2, V2), state(4.0, "e1", 1, V1)],
     ),
     (
-        "two entry VMs fold one revision to unlike states",
+        "two entry VMs hold different states at one revision",
         {Promise.EDITS},
         [state(3.0, "e1", 2, V1), state(3.0, "e2", 2, V2)],
     ),
     (
-        "entry VMs end at unlike revisions",
+        "entry VMs end at different revisions",
         {Promise.EDITS},
         [
             state(3.0, "e1", 2, V1, final=True),
@@ -195,7 +195,7 @@
     ("a request never ends", {Promise.ANSWERED}, [sent(10.0)]),
 ]
 
-CLEAN: list[tuple[str, list[Event]]] = [
+CORRECT: list[tuple[str, list[Event]]] = [
     ("one whole run", WHOLE_RUN),
     (
         "a version change shortly before the run",
@@ -239,13 +239,16 @@
 
 
 class TestChecker:
-    """``find_violations`` on histories written by hand."""
+    """``find_violations`` on handwritten histories."""
 
     @pytest.mark.parametrize(
         ("promises", "events"),
-        [pytest.param(promises, events, id=name) for name, promises, events in PLANTED],
+        [
+            pytest.param(promises, events, id=name)
+            for name, promises, events in VIOLATING
+        ],
     )
-    def test_finds_the_planted_fault(
+    def test_finds_the_violation(
         self,
         promises: set[Promise],
         events: list[Event],
@@ -256,17 +259,17 @@
 
     @pytest.mark.parametrize(
         "events",
-        [pytest.param(events, id=name) for name, events in CLEAN],
+        [pytest.param(events, id=name) for name, events in CORRECT],
     )
-    def test_passes_a_clean_history(self, events: list[Event]) -> None:
+    def test_accepts_a_correct_history(self, events: list[Event]) -> None:
         assert find_violations(History(events)) == []
 
-    def test_every_promise_has_a_planted_fault(self) -> None:
-        assert set().union(*(found for _, found, _ in PLANTED)) == set(Promise)
+    def test_every_promise_has_a_violating_history(self) -> None:
+        assert set().union(*(found for _, found, _ in VIOLATING)) == set(Promise)
 
 
 class TestRequestIds:
-    """Runs are matched to the send that caused them."""
+    """Runs are matched to the sends that caused them by request id."""
 
     def test_suffixes_of_the_entry_vm_are_dropped(self) -> None:
         assert caller_request_id("job12t3.0-e1") == "job12t3"
