--- a/bench/edit_checks.py
+++ b/bench/edit_checks.py
@@ -1,4 +1,4 @@
-"""Judges what became of catalogue edits: none lost, late or reverted."""
+"""Checks that no catalogue edit is lost, late or reverted."""
 
 from collections.abc import Iterator
 
@@ -25,12 +25,12 @@
                 (before, read),
             )
         newest_by_incarnation[incarnation] = read
-        twin = first_by_revision.setdefault(read.revision, read)
-        if twin.lora_name_by_entry != read.lora_name_by_entry:
+        first = first_by_revision.setdefault(read.revision, read)
+        if first.lora_name_by_entry != read.lora_name_by_entry:
             yield Violation(
                 Promise.EDITS,
-                f"two entry VMs hold unlike states at revision {read.revision}",
-                (twin, read),
+                f"two entry VMs hold different states at revision {read.revision}",
+                (first, read),
             )
         yield from _find_missing_edits(read, accepted, bounds)
         yield from _find_reverted_edits(read, edits)
@@ -43,7 +43,7 @@
     accepted: list[Edit],
     bounds: Bounds,
 ) -> Iterator[Violation]:
-    """Find edits accepted more than the bound ago that a VM has not folded."""
+    """Find edits accepted longer ago than the bound that a VM has not applied."""
     for edit in accepted:
         if edit.at + bounds.version_s < read.at and read.revision < edit.revision:
             yield Violation(
@@ -55,24 +55,24 @@
 
 
 def _find_reverted_edits(read: StateRead, edits: list[Edit]) -> Iterator[Violation]:
-    """Find entries whose held version is not the last that was accepted for them.
+    """Find entries whose version is not the last one accepted for them.
 
-    An edit whose answer was lost may have taken effect, at a revision nobody knows.
+    An edit whose answer was lost may have taken effect at an unknown revision.
     """
     newest_by_entry: dict[str, Edit] = {}
-    unsettled: set[tuple[str, str]] = set()
+    unknown: set[tuple[str, str]] = set()
     for edit in sorted(edits, key=lambda edit: edit.revision):
         if edit.accepted is None and edit.sent_at < read.at:
-            unsettled.add((edit.entry, edit.lora_name))
+            unknown.add((edit.entry, edit.lora_name))
         if edit.accepted and edit.revision <= read.revision:
             newest_by_entry[edit.entry] = edit
     for entry, edit in newest_by_entry.items():
         held = read.lora_name_by_entry.get(entry, NO_VERSION)
-        if held != edit.lora_name and (entry, held) not in unsettled:
+        if held != edit.lora_name and (entry, held) not in unknown:
             yield Violation(
                 Promise.EDITS,
                 f"{read.entry_vm} at revision {read.revision} holds {held or 'nothing'}"
-                f" for {entry}, revision {edit.revision} said {edit.lora_name}",
+                f" for {entry}, revision {edit.revision} set {edit.lora_name}",
                 (edit, read),
             )
 
@@ -83,7 +83,7 @@
         if read.revision != finals[0].revision:
             yield Violation(
                 Promise.EDITS,
-                f"{finals[0].entry_vm} and {read.entry_vm} end at unlike revisions",
+                f"{finals[0].entry_vm} and {read.entry_vm} end at different revisions",
                 (finals[0], read),
             )
 
--- a/bench/entry_list.py
+++ b/bench/entry_list.py
@@ -1,4 +1,4 @@
-"""How a caller learns which entry VM to use, and how long it keeps the answer."""
+"""A caller's cached list of entry VMs, with periodic refresh."""
 
 import random
 import time
@@ -8,26 +8,26 @@
 
 from bench.http import call_json
 
-ASK_TIMEOUT_S = 2.0
+REFRESH_TIMEOUT_S = 2.0
 
 
 class EntryList:
-    """The addresses that one caller knows.
+    """The addresses of entry VMs that one caller knows.
 
-    It asks any entry VM it knows and keeps the answer for as long as that says. When
-    nobody answers it goes on with what it has, and at last with where it began.
+    The list is fetched from any known entry VM and kept for the validity time in the
+    response. If no entry VM answers, the old list stays in use, then the seeds.
     """
 
     def __init__(self, seeds: Iterable[str], source: random.Random) -> None:
         self._seeds = list(seeds)
         self._random = source
         self._addresses: list[str] = []
-        self._keep_until = 0.0
+        self._expires_at = 0.0
 
     def choose(self) -> str:
         """Return the address to use now, as HOST:PORT."""
-        if not self._addresses or time.monotonic() >= self._keep_until:
-            self._ask()
+        if not self._addresses or time.monotonic() >= self._expires_at:
+            self._refresh()
         return self._random.choice(self._addresses or self._seeds)
 
     def drop(self, address: str) -> None:
@@ -35,17 +35,17 @@
         self._addresses = [known for known in self._addresses if known != address]
 
     def add_seed(self, address: str) -> None:
-        """Learn one more address to begin with."""
+        """Add a seed address."""
         self._seeds = [*self._seeds, address]
 
-    def _ask(self) -> None:
+    def _refresh(self) -> None:
         known = self._addresses + self._seeds
         for address in self._random.sample(known, len(known)):
             try:
                 status, answer = call_json(
                     "GET",
                     f"http://{address}/v1/entries",
-                    timeout_s=ASK_TIMEOUT_S,
+                    timeout_s=REFRESH_TIMEOUT_S,
                 )
             except urllib3.exceptions.HTTPError:
                 continue
@@ -53,5 +53,5 @@
                 self._addresses = [
                     f"{entry['address']}:{entry['port']}" for entry in answer["entries"]
                 ]
-                self._keep_until = time.monotonic() + answer["valid_for_s"]
+                self._expires_at = time.monotonic() + answer["valid_for_s"]
                 return
--- a/bench/http.py
+++ b/bench/http.py
@@ -1,4 +1,4 @@
-"""JSON over HTTP for the bench: one connection a call."""
+"""JSON over HTTP for the bench, with one connection per call."""
 
 import json
 import time
@@ -21,7 +21,10 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = CALL_TIMEOUT_S,
 ) -> tuple[int, Any]:
-    """Return the status and the parsed body; network errors are raised."""
+    """Return the status and the parsed body, None if it is not JSON.
+
+    Raises urllib3's HTTPError on network errors.
+    """
     with urllib3.PoolManager(retries=False) as http:
         response = http.request(
             method,
@@ -38,9 +41,9 @@
 
 
 def call_restarting(method: str, url: str, value: Any = None) -> tuple[int, Any]:
-    """Call a stand-in that may be restarting or dropping calls, until it answers.
+    """Call a stand-in that may be restarting or dropping calls; retry until it answers.
 
-    Every call of the bench to a stand-in may be repeated: it sets a state.
+    The bench only makes idempotent calls to stand-ins, so that each may be retried.
     """
     deadline = time.monotonic() + RESTART_TIMEOUT_S
     while True:
--- a/bench/peer_cuts.py
+++ b/bench/peer_cuts.py
@@ -1,8 +1,8 @@
-"""Cuts of the links between entry VMs, one way and both, by relays before their ports.
+"""Cuts the links between entry VMs, one way or both, with relays before their ports.
 
-A relay stands before each entry VM's port for peers and knows where a link comes
-from. What an entry VM cannot send is dropped at its peers' relays on the way in, and
-at its own relay on the way out.
+A relay in front of each entry VM's peer port knows the source of a link. Bytes that
+an entry VM cannot send are dropped at its peers' relays on links that it opened, and
+at its own relay on links that its peers opened.
 """
 
 import threading
@@ -15,7 +15,7 @@
 
 
 class CutWay(StrEnum):
-    """Which way an entry VM is cut from all its peers."""
+    """Direction in which an entry VM is cut from all its peers."""
 
     SENDS_NOTHING = "sends nothing"
     HEARS_NOTHING = "hears nothing"
@@ -23,12 +23,12 @@
 
 
 CUTS_SENDING = frozenset({CutWay.SENDS_NOTHING, CutWay.BOTH})
-CUTS_HEARING = frozenset({CutWay.HEARS_NOTHING, CutWay.BOTH})
+CUTS_RECEIVING = frozenset({CutWay.HEARS_NOTHING, CutWay.BOTH})
 
 
 @dataclass
 class PeerCuts:
-    """The cuts that are on; the rules of all relays follow from them."""
+    """The active cuts, from which the rules of all relays are derived."""
 
     relay_by_entry_id: dict[str, StandIn] = field(default_factory=dict)
     way_by_entry_id: dict[str, CutWay] = field(default_factory=dict)
@@ -40,7 +40,7 @@
         way: CutWay | None,
         entry_by_id: Mapping[str, EntryVM],
     ) -> None:
-        """Cut an entry VM from its peers, or (None) link it again."""
+        """Cut an entry VM from its peers; None restores its links."""
         with self._lock:
             if way is None:
                 self.way_by_entry_id.pop(entry_id, None)
@@ -54,18 +54,18 @@
                 relay.set_faults(**self._rules(entry_id, entry_by_id.values()))
 
     def _rules(self, entry_id: str, entries: Iterable[EntryVM]) -> dict[str, Any]:
-        """Return the rules of the relay that links *to* this entry VM pass."""
+        """Return the rules of the relay in front of this entry VM."""
         others = [entry for entry in entries if entry.id != entry_id]
         own = self.way_by_entry_id.get(entry_id)
         to_target = [
             entry.address
             for entry in others
-            if own in CUTS_HEARING or self._way(entry) in CUTS_SENDING
+            if own in CUTS_RECEIVING or self._way(entry) in CUTS_SENDING
         ]
         to_source = [
             entry.address
             for entry in others
-            if own in CUTS_SENDING or self._way(entry) in CUTS_HEARING
+            if own in CUTS_SENDING or self._way(entry) in CUTS_RECEIVING
         ]
         return {
             "drop_to_target": to_target or None,
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,4 @@
-"""Starts programs of the bench as processes and ends each by its own id."""
+"""Starts the programs of the bench as processes, and free ports for them."""
 
 import contextlib
 import os
@@ -20,12 +20,12 @@
 
 
 class StartError(Exception):
-    """A process ended or stayed silent instead of becoming ready."""
+    """A process exited or did not become ready in time."""
 
 
 @dataclass
 class Process:
-    """One process; its output goes to a file that is kept for the reader."""
+    """One process; its output goes to a file."""
 
     name: str
     popen: subprocess.Popen[bytes]
@@ -51,11 +51,14 @@
         return cls(name, popen, output)
 
     def wait_for_address(self) -> str:
-        """Return the HOST:PORT that a stand-in prints in its first line."""
+        """Return the HOST:PORT that a stand-in prints when it listens."""
         return self.wait_for_line(LISTENING_PREFIX)
 
     def wait_for_line(self, prefix: str) -> str:
-        """Return the rest of the first line that begins so."""
+        """Return the rest of the first output line that starts with the prefix.
+
+        Raises StartError if the process exits or does not print it in time.
+        """
         for _ in waiting(START_TIMEOUT_S, f"{self.name} did not print {prefix!r}"):
             self.raise_if_ended()
             for line in self.output.read_text(errors="replace").splitlines():
@@ -64,46 +67,46 @@
         raise AssertionError("unreachable")
 
     def raise_if_ended(self) -> None:
-        """Raise with the end of its output if the process ended."""
+        """Raise StartError with the end of the output if the process exited."""
         if self.popen.poll() is not None:
             tail = self.output.read_text(errors="replace")[-2000:]
             raise StartError(f"{self.name} exited {self.popen.returncode}:\n{tail}")
 
     @property
     def is_running(self) -> bool:
-        """Tell whether the process has not ended."""
+        """Tell whether the process is running."""
         return self.popen.poll() is None
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal if the process still runs."""
+        """Send a signal if the process is running."""
         if self.is_running:
             self.popen.send_signal(number)
 
     def kill(self) -> None:
-        """Kill the process, also a frozen one, and wait for its end."""
+        """Kill the process, even a suspended one, and wait for its exit."""
         self.signal(signal.SIGKILL)
         self.popen.wait()
 
     def terminate(self, timeout_s: float) -> int:
-        """Ask the process to stop; return its exit code, or raise TimeoutExpired."""
+        """Send SIGTERM; return the exit code, or raise TimeoutExpired."""
         self.signal(signal.SIGTERM)
         return self.popen.wait(timeout_s)
 
 
-def waiting(timeout_s: float, complaint: str) -> Iterator[float]:
-    """Yield the time waited until the loop is left; raise StartError at the end."""
+def waiting(timeout_s: float, message: str) -> Iterator[float]:
+    """Yield the seconds waited at each poll; raise StartError after the timeout."""
     started = time.monotonic()
     while (waited := time.monotonic() - started) < timeout_s:
         yield waited
         time.sleep(POLL_S)
-    raise StartError(complaint)
+    raise StartError(message)
 
 
 def find_free_port(address: str) -> int:
     """Return a port of this address that nothing listens on.
 
-    It lies below the range from which the system takes ports of outgoing connections:
-    one from within could be taken by a connection before the process listens on it.
+    It lies below the system's range for outgoing connections; a connection could take
+    a port of that range before the process listens on it.
     """
     while True:
         port = random.choice(LISTENING_PORTS)
@@ -115,8 +118,7 @@
 def find_free_ports(address: str, count: int) -> list[int]:
     """Return different ports of this address that nothing listens on.
 
-    Guards against a process that is given the same port for two uses: it ends at once,
-    about once in some thousand starts.
+    Guards against a process that exits because it got one port for two uses.
     """
     ports: list[int] = []
     while len(ports) < count:
@@ -127,16 +129,16 @@
 
 
 def own_network() -> str:
-    """Return the first three bytes of loopback addresses for this process alone.
+    """Return the first three bytes of the loopback addresses of this process.
 
-    Clusters of test workers run side by side; on shared addresses their ports would
-    collide between the choice of a port and its use.
+    Test workers run clusters concurrently; on shared addresses another worker could
+    take a port between its choice and its use.
     """
     process_id = os.getpid()
     return f"127.{1 + process_id // 250 % 250}.{1 + process_id % 250}"
 
 
 def count_children() -> int:
-    """Return how many child processes this process has, ended ones included."""
+    """Return the number of child processes, including zombies."""
     children = Path(f"/proc/{os.getpid()}/task/{os.getpid()}/children")
     return len(children.read_text().split())
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,4 +1,4 @@
-"""Passes TCP connections on and counts their bytes, to see what a process reads."""
+"""Forwards TCP connections and counts their bytes."""
 
 import asyncio
 import contextlib
@@ -9,7 +9,7 @@
 
 
 class CountingRelay:
-    """A port that stands before another one; counts payload bytes both ways."""
+    """A port that forwards to another one and counts payload bytes both ways."""
 
     def __init__(self, target: str) -> None:
         host, _, port = target.removeprefix("http://").partition(":")
@@ -33,12 +33,12 @@
         with contextlib.suppress(OSError):
             far_reader, far_writer = await asyncio.open_connection(*self._target)
             await asyncio.gather(
-                self._pass(reader, far_writer),
-                self._pass(far_reader, writer),
+                self._forward(reader, far_writer),
+                self._forward(far_reader, writer),
             )
         writer.close()
 
-    async def _pass(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -54,7 +54,7 @@
 
 @contextlib.contextmanager
 def relay_loop() -> Iterator[asyncio.AbstractEventLoop]:
-    """Run an event loop for relays in a thread of its own."""
+    """Run an event loop for relays in a separate thread."""
     loop = asyncio.new_event_loop()
     thread = threading.Thread(target=loop.run_forever, daemon=True)
     thread.start()
@@ -66,7 +66,7 @@
 
 
 def start_relay(loop: asyncio.AbstractEventLoop, target: str) -> CountingRelay:
-    """Put a relay before a service."""
+    """Start a relay in front of a service."""
     relay = CountingRelay(target)
     asyncio.run_coroutine_threadsafe(relay.listen(), loop).result(5)
     return relay
--- a/bench/routed.py
+++ b/bench/routed.py
@@ -1,4 +1,4 @@
-"""What a small deployment on the routed interface is told, and how callers call it."""
+"""Settings and configuration of a small routed deployment, and a caller for it."""
 
 import itertools
 import os
@@ -13,14 +13,14 @@
 HOST = "shop.example"
 MODEL = "base"
 
-# Test processes that run side by side begin at different places.
+# Concurrent test processes start their search at different ports.
 _first_port = 18000 + os.getpid() * 37 % 11000
 _ports = itertools.chain(range(_first_port, 29000), range(18000, _first_port))
 _request_numbers = itertools.count(1)
 
 
 def free_port() -> int:
-    """Return a port below those that the kernel gives to outgoing connections."""
+    """Return a free port below the kernel's range for outgoing connections."""
     for port in _ports:
         with socket.socket() as probe:
             try:
@@ -100,7 +100,7 @@
 
 @dataclass
 class CallerAnswer:
-    """What a caller got; ``whole`` is False if the answer broke off."""
+    """The response to a caller; ``whole`` is False if it was cut off."""
 
     status: int
     head: AnswerHead | None
@@ -114,7 +114,7 @@
 
 
 def request_id() -> str:
-    """Return a new id for one attempt of a caller."""
+    """Return a new request id."""
     return f"request{next(_request_numbers)}"
 
 
@@ -129,19 +129,19 @@
     headers: dict[str, str] | None = None,
     attempt: str | None = None,
 ) -> CallerAnswer:
-    """Send one request as a caller and return what came back."""
-    named = {"Host": HOST, "X-Request-Id": attempt or request_id()}
+    """Send one request as a caller and return the response."""
+    fields = {"Host": HOST, "X-Request-Id": attempt or request_id()}
     if deadline_ms is not None:
-        named["X-Deadline-Ms"] = str(deadline_ms)
+        fields["X-Deadline-Ms"] = str(deadline_ms)
     if adapter is not None:
-        named["X-Model"] = f"{MODEL}/{adapter}"
-        named["X-Token-Count"] = "100,20"
-    named |= headers or {}
+        fields["X-Model"] = f"{MODEL}/{adapter}"
+        fields["X-Token-Count"] = "100,20"
+    fields |= headers or {}
     if method == "GET":
         body = b""
     else:
-        named["Content-Length"] = str(len(body))
-    request = h11.Request(method=method, target=path, headers=list(named.items()))
+        fields["Content-Length"] = str(len(body))
+    request = h11.Request(method=method, target=path, headers=list(fields.items()))
     connection = await Connection.open(*address)
     try:
         connection.send(request, body)
@@ -151,7 +151,7 @@
 
 
 async def read_answer(connection: Connection) -> CallerAnswer:
-    """Read an answer to its end, whole or not."""
+    """Read a response until it is complete or cut off."""
     head = None
     received = b""
     try:
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Starting processes for tests and measurements."""
+"""Processes started for tests and measurements."""
 
 import pytest
 
@@ -7,14 +7,10 @@
 
 
 class TestFreePorts:
-    """Ports for the uses of one process."""
+    """Choice of the ports of one process."""
 
-    def test_no_port_is_given_out_twice(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """A test fails once in a while because an entry VM did not start.
-
-        Its ports were chosen one by one at random; two uses got the same one, and the
-        VM ended with ``must differ from admin_port``.
-        """
+    def test_all_ports_are_different(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        """Guards against an entry VM that exits because two ports are the same."""
         first, second = find_free_port("127.0.0.1"), 0
         while second in (0, first):
             second = find_free_port("127.0.0.1")
