--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -101,7 +101,7 @@
             time.sleep(WARM_S)
             scenario.cluster.kill_entry(scenario.operator.read_holders()["g1"])
             time.sleep(WARM_S)
-        verdict = scenario.judge()
+        verdict = scenario.evaluate()
         history = scenario.history()
     cut_off = [
         received
@@ -125,7 +125,7 @@
                 took = cluster.stop_entry(entry.id)
                 print(f"  {entry.id} replaced, its stop took {took:.1f} s", flush=True)
             time.sleep(WARM_S)
-        verdict = scenario.judge()
+        verdict = scenario.evaluate()
         print_outcomes(scenario.history(), 0.0, time.time())
     print_verdict(verdict, "rolling replacement")
 
@@ -153,7 +153,7 @@
                 "not ready after the outage",
             )
             time.sleep(WARM_S)
-        verdict = scenario.judge()
+        verdict = scenario.evaluate()
         history = scenario.history()
     print(title)
     print_outcomes(history, began, ended)
--- a/bench/scenario.py
+++ b/bench/scenario.py
@@ -123,8 +123,8 @@
         ]
         return ends[-1] if ends else ""
 
-    def judge(self, bounds: Bounds | None = None) -> Verdict:
-        """Read the end state of every live entry VM and judge the history."""
+    def evaluate(self, bounds: Bounds | None = None) -> Verdict:
+        """Read the end state of every live entry VM and check the history."""
         for entry in self.cluster.live_entries():
             self.operator.read_state(entry, final=True)
         return Verdict.from_history(self.history(), bounds)
--- a/tests/test_promises_engines.py
+++ b/tests/test_promises_engines.py
@@ -94,7 +94,7 @@
                 time.sleep(1.5)
                 assert scenario.operator.set_version(ADAPTERS[0], version)
             time.sleep(7.0)
-        verdict = scenario.judge()
+        verdict = scenario.evaluate()
         assert verdict.violations == ()
         assert f"{ADAPTERS[0]}@3" in {
             start.lora_name for start in scenario.history().of(RunStarted)
@@ -179,7 +179,7 @@
             time.sleep(2.0)
             scenario.cluster.set_endpoint_leaving("g1", leaving=True)
             time.sleep(8.0)
-        verdict = scenario.judge()
+        verdict = scenario.evaluate()
         assert verdict.violations == ()
         assert verdict.outcomes[Outcome.ANSWERED] > 0
 
--- a/tests/test_promises_entries.py
+++ b/tests/test_promises_entries.py
@@ -38,7 +38,7 @@
             time.sleep(0.5)
             scenario.cluster.stop_entry("e1")
         assert future.result(timeout=30) is Outcome.ANSWERED
-        assert scenario.judge().violations == ()
+        assert scenario.evaluate().violations == ()
 
     def test_all_entry_vms_are_replaced_one_by_one(self, scenario: Scenario) -> None:
         """Guards against errors for callers at a release.
@@ -51,7 +51,7 @@
                 scenario.cluster.wait_until_ready(successor)
                 load.add_seed(successor.callers_address)
                 scenario.cluster.stop_entry(f"e{number}")
-        verdict = scenario.judge()
+        verdict = scenario.evaluate()
         assert verdict.violations == ()
         assert verdict.outcomes.keys() <= {Outcome.ANSWERED, Outcome.HUNG_UP}
 
@@ -91,7 +91,7 @@
         log.set_faults(slow_ms=None, lose_answers=None)
         time.sleep(2.0)
         assert True in verdicts
-        assert scenario.judge().violations == ()
+        assert scenario.evaluate().violations == ()
 
     def test_a_paused_entry_vm_catches_up_past_expired_records(
         self,
@@ -110,7 +110,7 @@
         wait_until(scenario.cluster.is_ready, "e3 does not serve again")
         log.set_faults(retention_records=None)
         time.sleep(1.0)
-        assert scenario.judge().violations == ()
+        assert scenario.evaluate().violations == ()
 
     def test_an_entry_vm_starts_during_an_outage_of_the_log(
         self,
@@ -135,4 +135,4 @@
         log.set_faults(down=None)
         assert answer.received.outcome is Outcome.ANSWERED
         wait_until(scenario.cluster.is_ready, "not ready after the outage")
-        assert scenario.judge().violations == ()
+        assert scenario.evaluate().violations == ()
