--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -33,7 +33,7 @@
     find_free_port,
     find_free_ports,
     own_network,
-    waiting,
+    poll_until_timeout,
 )
 
 FAILURE_DOMAINS = ("muc-a", "muc-b", "nue-a")
@@ -204,7 +204,7 @@
         self, entry: EntryVM, timeout_s: float = READY_TIMEOUT_S
     ) -> float:
         """Wait until an entry VM serves; return the time it took."""
-        for waited in waiting(timeout_s, f"{entry.id} is not ready"):
+        for waited in poll_until_timeout(timeout_s, f"{entry.id} is not ready"):
             entry.process.raise_if_ended()
             if entry.is_ready():
                 return waited
--- a/bench/operators.py
+++ b/bench/operators.py
@@ -10,7 +10,7 @@
 from bench.cluster import Cluster
 from bench.history import Edit, StateRead
 from bench.members import BASE_MODEL, ENGINE_POOL, SERVICE_POOL, EntryVM
-from bench.processes import waiting
+from bench.processes import poll_until_timeout
 
 ADAPTERS = (
     "lesson-summaries",
@@ -160,7 +160,9 @@
         timeout_s: float = EVERYWHERE_TIMEOUT_S,
     ) -> float:
         """Wait until all live entry VMs hold a revision; return the time it took."""
-        for waited in waiting(timeout_s, f"revision {revision} is not everywhere"):
+        for waited in poll_until_timeout(
+            timeout_s, f"revision {revision} is not everywhere"
+        ):
             entries = self._cluster.live_entries()
             if all(self.read_revision(entry) >= revision for entry in entries):
                 return waited
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -59,7 +59,9 @@
 
         Raises StartError if the process exits or does not print it in time.
         """
-        for _ in waiting(START_TIMEOUT_S, f"{self.name} did not print {prefix!r}"):
+        for _ in poll_until_timeout(
+            START_TIMEOUT_S, f"{self.name} did not print {prefix!r}"
+        ):
             self.raise_if_ended()
             for line in self.output.read_text(errors="replace").splitlines():
                 if line.startswith(prefix):
@@ -93,7 +95,7 @@
         return self.popen.wait(timeout_s)
 
 
-def waiting(timeout_s: float, message: str) -> Iterator[float]:
+def poll_until_timeout(timeout_s: float, message: str) -> Iterator[float]:
     """Yield the seconds waited at each poll; raise StartError after the timeout."""
     started = time.monotonic()
     while (waited := time.monotonic() - started) < timeout_s:
--- a/bench/scenario.py
+++ b/bench/scenario.py
@@ -16,7 +16,7 @@
 from bench.history import History, Outcome
 from bench.jobs import Job, JobKind
 from bench.operators import ADAPTERS, SERVICES, Operator, build_catalogue
-from bench.processes import waiting
+from bench.processes import poll_until_timeout
 from bench.verdict import Verdict
 from bench.violations import Bounds
 
@@ -151,7 +151,7 @@
 
 def wait_until(condition: Callable[[], bool], complaint: str) -> float:
     """Wait for a condition; return the time it took, raise when it takes too long."""
-    for waited in waiting(CONDITION_TIMEOUT_S, complaint):
+    for waited in poll_until_timeout(CONDITION_TIMEOUT_S, complaint):
         if condition():
             return waited
     raise AssertionError("unreachable")
