--- a/bench/scenario.py
+++ b/bench/scenario.py
@@ -33,7 +33,7 @@
 
 
 @dataclass
-class OneEntry:
+class FixedEntry:
     """An entry list of a caller that stays with one entry VM."""
 
     address: str
@@ -70,7 +70,7 @@
             entry = self.cluster.entry_by_id[at]
             return Caller(
                 name,
-                OneEntry(entry.callers_address),
+                FixedEntry(entry.callers_address),
                 self.cluster.recorder,
                 source,
             )
