--- a/bench/callers.py
+++ b/bench/callers.py
@@ -1,7 +1,8 @@
-"""Callers as they are: they ask which entry VM to use, send, and send again.
+"""Callers with retries, and a load of many callers on threads.
 
-A caller repeats what was not run after the advised wait, repeats a keyed request
-with the same key, and never repeats a non-idempotent one that has no key.
+A caller retries a request that was not run after the advised delay, retries a keyed
+request with the same key, and never retries a non-idempotent request without a key
+whose outcome is unknown.
 """
 
 import itertools
@@ -19,12 +20,12 @@
 from bench.jobs import MODEL_KINDS, Job, JobKind
 from bench.tries import Answer, send_try
 
-# A caller at the counter gives up on an answer that takes longer than this.
+# Read timeout of a caller.
 ANSWER_TIMEOUT_S = 30.0
 MAX_TRIES = 20
-MAX_REPEATS_AFTER_UNKNOWN = 2
-# A connection that ends is no answer: a caller is more patient with those.
-MAX_REPEATS_AFTER_BREAK = 6
+MAX_RETRIES_AFTER_UNKNOWN = 2
+# A broken connection carries no answer, so more retries are allowed.
+MAX_RETRIES_AFTER_BREAK = 6
 MAX_RETRY_AFTER_S = 1.5
 RECONNECT_WAIT_S = 0.1
 CRASHES_ENDPOINTS = "request_crashes_endpoints"
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True)
 class LoadConfig:
-    """A mixed load; callers think between two jobs, so the load is closed."""
+    """A closed-loop mixed load; callers pause ``think_s`` on average between jobs."""
 
     model_entries: tuple[str, ...]
     service_entries: tuple[str, ...]
@@ -58,7 +59,7 @@
 
 
 class Entries(Protocol):
-    """Where a caller sends."""
+    """The entry VMs that a caller may send to."""
 
     def choose(self) -> str:
         """Return the address to use now, as HOST:PORT."""
@@ -67,11 +68,11 @@
         """Stop using an address that refused the connection."""
 
     def add_seed(self, address: str) -> None:
-        """Learn one more address to begin with."""
+        """Add a seed address."""
 
 
 class Caller:
-    """One caller, which works on one job after another."""
+    """A caller that sends jobs one at a time."""
 
     def __init__(
         self,
@@ -88,20 +89,20 @@
         self._answer_timeout_s = answer_timeout_s
 
     def finish(self, job: Job) -> Outcome:
-        """Send a job until it has a final answer or its tries are used up."""
+        """Send a job until it has a final outcome or its tries are used up."""
         outcomes: Counter[Outcome] = Counter()
         outcome = Outcome.UNREACHED
         for number in range(MAX_TRIES):
             answer = self.send(job, number)
             outcome = answer.received.outcome
             outcomes[outcome] += 1
-            if not _may_repeat(job, answer, outcomes):
+            if not _may_retry(job, answer, outcomes):
                 return outcome
             self._wait(answer)
         return outcome
 
     def send(self, job: Job, number: int = 0) -> Answer:
-        """Send a job once and record what it came to."""
+        """Send a job once and record the outcome."""
         request_id = f"{job.id}t{number}"
         address = self.entries.choose()
         sent = Sent(
@@ -128,7 +129,7 @@
         time.sleep(min(advised, MAX_RETRY_AFTER_S) * self._random.uniform(1.0, 1.2))
 
 
-def _may_repeat(job: Job, answer: Answer, outcomes: Counter[Outcome]) -> bool:
+def _may_retry(job: Job, answer: Answer, outcomes: Counter[Outcome]) -> bool:
     outcome = answer.received.outcome
     if outcome is Outcome.UNREACHED:
         return True
@@ -136,11 +137,11 @@
         return answer.retry_after_s is not None
     if answer.received.code == CRASHES_ENDPOINTS:
         return False
-    repeatable = job.idempotent or bool(job.key)
+    retryable = job.idempotent or bool(job.key)
     if outcome is Outcome.UNKNOWN:
-        return repeatable and outcomes[outcome] <= MAX_REPEATS_AFTER_UNKNOWN
+        return retryable and outcomes[outcome] <= MAX_RETRIES_AFTER_UNKNOWN
     if outcome is Outcome.BROKEN:
-        return repeatable and outcomes[outcome] <= MAX_REPEATS_AFTER_BREAK
+        return retryable and outcomes[outcome] <= MAX_RETRIES_AFTER_BREAK
     return False
 
 
@@ -176,7 +177,7 @@
                 self.config.answer_timeout_s,
             )
             thread = threading.Thread(
-                target=self._work,
+                target=self._run_caller,
                 args=(caller, source),
                 name=caller.name,
                 daemon=True,
@@ -193,13 +194,13 @@
             thread.join(max(0.0, deadline - time.monotonic()))
 
     def add_seed(self, address: str) -> None:
-        """Tell all callers of one more address to begin with."""
+        """Add a seed address to all callers."""
         self._seeds.append(address)
         for caller in self._callers:
             caller.entries.add_seed(address)
 
     def send_extra(self, kind: JobKind, source: random.Random, text: str) -> None:
-        """Let one more caller send one job with this text in its prompt."""
+        """Send one job with ``text`` in its prompt from an additional caller."""
         caller = Caller(
             "agency-extra",
             EntryList(self._seeds, source),
@@ -213,7 +214,7 @@
         thread.start()
 
     def new_job(self, kind: JobKind, source: random.Random, caller: str = "") -> Job:
-        """Return a job of this kind with a number of its own."""
+        """Return a new job of a kind, with a unique id."""
         is_model = kind in MODEL_KINDS
         config = self.config
         names = config.model_entries if is_model else config.service_entries
@@ -222,13 +223,13 @@
         return Job(
             f"job{number}",
             kind,
-            # Popularity is skewed: the first entries are asked for most.
+            # Skewed popularity: the first entries get most requests.
             names[min(int(source.expovariate(0.7)), len(names) - 1)],
             caller=caller or "agency-0",
             max_tokens=source.randint(2, config.max_tokens),
         )
 
-    def _work(self, caller: Caller, source: random.Random) -> None:
+    def _run_caller(self, caller: Caller, source: random.Random) -> None:
         kinds = list(self.config.weight_by_kind)
         weights = list(self.config.weight_by_kind.values())
         while not self._stopping.is_set():
@@ -246,7 +247,7 @@
     recorder: Recorder,
     numbers: Iterator[int] | None = None,
 ) -> Iterator[Load]:
-    """Run a load; at the end of the block its callers finish their jobs."""
+    """Run a load; its callers finish their jobs at the end of the block."""
     load = Load(config, seeds, recorder, numbers)
     load.start()
     try:
--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -1,7 +1,7 @@
 """A small deployment on loopback: stand-ins and entry VMs as separate processes.
 
-Every entry VM has a loopback address of its own (127.x.y.11, .12, ...), so that a
-stand-in can cut it by its source address.
+Every entry VM has its own loopback address (127.x.y.11, .12, ...), so that a stand-in
+can cut its connections by source address.
 """
 
 import contextlib
@@ -39,13 +39,13 @@
 FAILURE_DOMAINS = ("muc-a", "muc-b", "nue-a")
 CONTROL_PREFIX = "control on "
 READY_TIMEOUT_S = 20.0
-# A planned stop waits for the longest answer and for callers' old entry lists.
+# A planned stop waits for the longest answer and for cached entry lists to expire.
 STOP_TIMEOUT_S = 60.0
 
 
 @dataclass(frozen=True)
 class ClusterConfig:
-    """What to start; ``*_options`` are further flags of those programs."""
+    """The members to start; ``*_options`` are extra flags of their programs."""
 
     engines: int = 4
     services: int = 2
@@ -57,16 +57,16 @@
     log_options: tuple[str, ...] = ()
     vms_options: tuple[str, ...] = ()
     weights_options: tuple[str, ...] = ("--load-seconds", "0.3")
-    relays: bool = False  # before the peers' ports, for cuts between entry VMs
+    relays: bool = False  # in front of the peer ports, for cuts between entry VMs
 
     def with_program(self, program: Sequence[str]) -> "ClusterConfig":
-        """Return this configuration with another program for the entry VMs."""
+        """Return a copy with another program for the entry VMs."""
         return replace(self, program=tuple(program))
 
 
 @dataclass
 class Cluster:
-    """The processes of one run and what the bench did to them."""
+    """The processes of one run, and the faults and changes applied to them."""
 
     config: ClusterConfig
     directory: Path
@@ -81,7 +81,7 @@
     # -- starting ---------------------------------------------------------------
 
     def start_standins(self) -> None:
-        """Start the platform's stand-ins, then the endpoints, and list them."""
+        """Start the platform's stand-ins, then the endpoints, and list the latter."""
         config = self.config
         self._start_standins(["log"], "log", config.log_options)
         self._start_standins(["vms"], "vms", config.vms_options)
@@ -102,7 +102,7 @@
         kind: str,
         options: Sequence[str],
     ) -> None:
-        """Start stand-ins of one kind side by side."""
+        """Start stand-ins of one kind concurrently."""
         process_by_id = {}
         for standin_id in ids:
             arguments = ["standin", kind, "--listen", f"{STANDIN_ADDRESS}:0", *options]
@@ -116,7 +116,7 @@
             self.standin_by_id[standin_id] = StandIn(standin_id, kind, url, process)
 
     def start_entry(self, entry_id: str, address: str = "") -> EntryVM:
-        """Start an entry VM and list it; it may not be ready yet."""
+        """Start an entry VM and add it to the VM list; it may not be ready yet."""
         number = next(self._numbers)
         earlier = self.entry_by_id.get(entry_id)
         address = address or (
@@ -152,7 +152,7 @@
         return entry
 
     def _start_relay(self, entry: EntryVM) -> None:
-        """Start the relay that the VM list names in place of the peers' port."""
+        """Start the relay whose port the VM list shows as the peer port."""
         earlier = self.peer_cuts.relay_by_entry_id.get(entry.id)
         if earlier is not None:
             earlier.process.kill()
@@ -176,7 +176,7 @@
         self.peer_cuts.relay_by_entry_id[entry.id] = relay
 
     def cut_from_peers(self, entry_id: str, way: CutWay | None) -> None:
-        """Cut an entry VM from all its peers, or (None) link it again."""
+        """Cut an entry VM from all its peers; None restores its links."""
         self.peer_cuts.change(entry_id, way, self.entry_by_id)
 
     def start_entries(self) -> None:
@@ -203,7 +203,7 @@
     def wait_until_ready(
         self, entry: EntryVM, timeout_s: float = READY_TIMEOUT_S
     ) -> float:
-        """Wait until an entry VM serves; return the time it took."""
+        """Wait until an entry VM serves; return the seconds it took."""
         for waited in poll_until_timeout(timeout_s, f"{entry.id} is not ready"):
             entry.process.raise_if_ended()
             if entry.is_ready():
@@ -216,11 +216,11 @@
         call_restarting("PUT", f"{self.standin_by_id['vms'].url}/vms/{vm_id}", row)
 
     def forget_vm(self, vm_id: str) -> None:
-        """Take a VM off the list."""
+        """Remove a VM from the VM list."""
         call_restarting("DELETE", f"{self.standin_by_id['vms'].url}/vms/{vm_id}")
 
     def set_endpoint_leaving(self, endpoint: str, *, leaving: bool) -> None:
-        """Tell the VM list that an endpoint leaves, or is live again."""
+        """Mark an endpoint as leaving or as live in the VM list."""
         state = "leaving" if leaving else "live"
         self._put_vm(endpoint, self.standin_by_id[endpoint].to_row(state))
         self.recorder.record(EndpointState(time.time(), endpoint, leaving))
@@ -236,7 +236,7 @@
         ]
 
     def kill_entry(self, entry_id: str) -> None:
-        """Kill an entry VM without warning; the platform takes it off its list."""
+        """Kill an entry VM without warning and remove it from the VM list."""
         entry = self.entry_by_id[entry_id]
         at = time.time()
         entry.process.kill()
@@ -244,13 +244,13 @@
         self.forget_vm(entry_id)
 
     def freeze_entry(self, entry_id: str) -> None:
-        """Freeze an entry VM: it is paused and does not know it."""
+        """Suspend an entry VM's process with SIGSTOP."""
         entry = self.entry_by_id[entry_id]
         entry.frozen_at = time.time()
         entry.process.signal(signal.SIGSTOP)
 
     def thaw_entry(self, entry_id: str) -> None:
-        """Let a frozen entry VM go on."""
+        """Resume a frozen entry VM."""
         entry = self.entry_by_id[entry_id]
         entry.process.signal(signal.SIGCONT)
         if entry.frozen_at is not None:
@@ -259,7 +259,7 @@
             entry.frozen_at = None
 
     def stop_entry(self, entry_id: str, timeout_s: float = STOP_TIMEOUT_S) -> float:
-        """Stop an entry VM as planned; return how long it took."""
+        """Stop an entry VM as planned; return the seconds it took."""
         entry = self.entry_by_id[entry_id]
         at = time.time()
         self._put_vm(entry_id, entry.to_row("leaving"))
@@ -274,14 +274,14 @@
         return ended_at - at
 
     def end_all(self) -> None:
-        """End every process that was started, entry VMs first."""
+        """Kill every process that was started, in reverse order."""
         for process in reversed(self.processes):
             process.kill()
 
     # -- catalogue ------------------------------------------------------------------
 
     def run_catalogue(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        """Run ``bamboovale catalogue`` against some live entry VM."""
+        """Run ``bamboovale catalogue`` against the first live entry VM."""
         admin = self.live_entries()[0].admin_url
         return subprocess.run(
             [
@@ -308,7 +308,7 @@
 
 @contextlib.contextmanager
 def running_cluster(config: ClusterConfig, directory: Path) -> Iterator[Cluster]:
-    """Run a cluster; whatever happens, none of its processes outlives the block."""
+    """Run a cluster; all its processes end with the block."""
     cluster = Cluster(config, directory)
     try:
         cluster.start_standins()
--- a/bench/collection.py
+++ b/bench/collection.py
@@ -1,4 +1,4 @@
-"""Turns what the stand-ins recorded into events of the one history."""
+"""Converts the records of the stand-ins into events of one history."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import replace
@@ -22,7 +22,9 @@
 def collect_history(cluster: Cluster) -> History:
     """Return the history of a cluster's run so far."""
     id_by_address = cluster.entry_id_by_callers_address
-    events = [_name_entry(event, id_by_address) for event in cluster.recorder.events()]
+    events = [
+        _set_entry_id(event, id_by_address) for event in cluster.recorder.events()
+    ]
     for standin in cluster.standin_by_id.values():
         recorded = standin.read_history()
         if standin.kind == "engine":
@@ -34,8 +36,8 @@
     return History(events)
 
 
-def _name_entry(event: Event, id_by_address: dict[str, str]) -> Event:
-    """Give a send the id of the entry VM whose address its caller used."""
+def _set_entry_id(event: Event, id_by_address: dict[str, str]) -> Event:
+    """Replace the address of a send by the id of its entry VM."""
     if not isinstance(event, Sent):
         return event
     return replace(event, entry_vm=id_by_address.get(event.entry_vm, event.entry_vm))
@@ -44,8 +46,8 @@
 def read_engine(endpoint: str, recorded: Iterable[Recorded]) -> Iterator[Event]:
     """Yield the runs and orders of an engine.
 
-    A run that goes on after a break in its stream is begun again by the engine, under
-    the same id; that is one run, so only its first begin counts as one.
+    An engine that resumes a run after its stream broke records another start under the
+    same id. Such starts are marked ``again``, because both belong to one run.
     """
     boot_id = ""
     resumed: set[str] = set()
@@ -103,7 +105,7 @@
 
 
 def read_log(recorded: Iterable[Recorded]) -> Iterator[Event]:
-    """Yield the appends that took effect."""
+    """Yield the records that were appended."""
     for event in recorded:
         if event["event"] == "append":
             yield LogRecord(event["time"], event["stream"], event["offset"])
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,8 +1,9 @@
-"""``make demo``: the whole path with its failures, judged by what callers received.
+"""``make demo``: an end-to-end run with failures, checked from recorded events.
 
 Starts the stand-ins and four entry VMs, publishes a catalogue with the command line,
 sends a mixed load, changes a version, kills an entry VM, crashes an engine, stops
-another entry VM as planned, and judges the history. Exits 1 on any fault.
+another entry VM as planned, and checks the history. Exits 1 on a violation or if a
+process is left.
 """
 
 import argparse
@@ -21,7 +22,7 @@
 from bench.verdict import Verdict
 
 PHASE_S = 6.0
-# Short enough that a planned stop, which outlasts callers' old lists, fits the demo.
+# Short, because a planned stop waits until callers' cached entry lists expire.
 ENTRY_OPTIONS = ("--entries-ttl-s=2", "--drain-timeout-s=30")
 ENGINE_OPTIONS = ("--max-loras", "3", "--max-num-seqs", "8", "--step-ms", "15")
 CONFIG = ClusterConfig(
@@ -33,38 +34,38 @@
 
 
 def run_demo(cluster: Cluster, phase_s: float) -> Verdict:
-    """Run the scenario on a cluster that is ready, ``phase_s`` seconds a phase."""
+    """Run the demo on a ready cluster, with ``phase_s`` seconds per phase."""
     operator = Operator(cluster)
     operator.publish(build_catalogue())
     operator.wait_until_everywhere(operator.read_revision(cluster.live_entries()[0]))
-    say("catalogue published and in force on every entry VM")
+    say("catalogue published and in effect on every entry VM")
     load_config = LoadConfig(ADAPTERS, SERVICES, callers=CALLERS)
     seeds = [entry.callers_address for entry in cluster.live_entries()]
     with running_load(load_config, seeds, cluster.recorder) as load:
-        _disturb(cluster, operator, load, phase_s)
+        _run_phases(cluster, operator, load, phase_s)
     for entry in cluster.live_entries():
         operator.read_state(entry, final=True)
     history = collect_history(cluster)
-    say(f"judged by {len(history.events)} events, {len(history.runs)} runs on engines")
+    say(f"checked {len(history.events)} events, {len(history.runs)} runs on engines")
     return Verdict.from_history(history)
 
 
-def _disturb(
+def _run_phases(
     cluster: Cluster,
     operator: Operator,
     load: Load,
     phase_s: float,
 ) -> None:
-    """Change, kill, crash and stop, with a phase of load after each."""
-    _wait("mixed load", load, phase_s)
+    """Change a version and inject faults, with a phase of load after each."""
+    _finish_phase("mixed load", load, phase_s)
     operator.publish(build_catalogue_with_version("2"))
-    _wait(f"version of {ADAPTERS[0]} changed to 2", load, phase_s)
+    _finish_phase(f"version of {ADAPTERS[0]} changed to 2", load, phase_s)
     cluster.kill_entry("e2")
-    _wait("entry VM e2 killed", load, phase_s)
+    _finish_phase("entry VM e2 killed", load, phase_s)
     cluster.standin_by_id["g1"].set_faults(crash=True)
-    _wait("engine g1 crashed", load, phase_s)
+    _finish_phase("engine g1 crashed", load, phase_s)
     took = cluster.stop_entry("e3")
-    _wait(f"entry VM e3 stopped as planned within {took:.1f} s", load, phase_s)
+    _finish_phase(f"entry VM e3 stopped as planned within {took:.1f} s", load, phase_s)
 
 
 def build_catalogue_with_version(version: str) -> list[dict[str, object]]:
@@ -76,7 +77,7 @@
     return entries
 
 
-def _wait(message: str, load: Load, phase_s: float) -> None:
+def _finish_phase(message: str, load: Load, phase_s: float) -> None:
     time.sleep(phase_s)
     counts = ", ".join(
         f"{outcome} {count}" for outcome, count in sorted(load.outcomes.items())
@@ -85,7 +86,7 @@
 
 
 def say(message: str) -> None:
-    """Print a line at once."""
+    """Print a line and flush."""
     print(message, flush=True)
 
 
@@ -100,7 +101,7 @@
     )
     parser.add_argument("--phase-s", type=float, default=PHASE_S)
     options = parser.parse_args(arguments)
-    # Ended from outside, the demo still ends its processes on the way out.
+    # On SIGTERM, exit normally so that all processes are ended.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
     config = CONFIG.with_program(options.program)
     with (
--- a/bench/members.py
+++ b/bench/members.py
@@ -1,4 +1,4 @@
-"""The members of a bench cluster: stand-ins and entry VMs, as the bench sees them."""
+"""The members of a bench cluster: stand-ins and entry VMs."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -43,13 +43,13 @@
         }
 
     def set_faults(self, **faults: Any) -> None:
-        """Switch faults; None switches one off."""
+        """Set faults by name; None switches a fault off."""
         status, answer = call_restarting("POST", f"{self.url}/faults", faults)
         if status != 200:
-            raise ValueError(f"{self.id} refused {faults}: {answer}")
+            raise ValueError(f"{self.id} rejected the faults {faults}: {answer}")
 
     def read_faults(self) -> dict[str, Any]:
-        """Return the faults that are on."""
+        """Return the active faults."""
         _, faults = call_restarting("GET", f"{self.url}/faults")
         return dict(faults)
 
@@ -57,7 +57,7 @@
         """Return everything the stand-in recorded."""
         status, events = call_restarting("GET", f"{self.url}/history")
         if status != 200:
-            raise ValueError(f"{self.id} gave no history: {status}")
+            raise ValueError(f"{self.id} returned no history: status {status}")
         return list(events)
 
 
@@ -91,11 +91,11 @@
 
     @property
     def admin_url(self) -> str:
-        """Return where operators connect."""
+        """Return the base URL of the administration API."""
         return f"http://{self.address}:{self.port_by_use['admin']}"
 
     def is_ready(self) -> bool:
-        """Ask the entry VM whether it serves."""
+        """Tell whether the entry VM reports that it is ready."""
         try:
             status, answer = call_json(
                 "GET", f"{self.admin_url}/healthz", timeout_s=1.0
--- a/bench/operators.py
+++ b/bench/operators.py
@@ -1,4 +1,4 @@
-"""What operators do in a bench run: publish entries, edit them, read them back."""
+"""Operators of a bench run: publish, edit and read back catalogue entries."""
 
 import itertools
 import time
@@ -46,7 +46,7 @@
 
 
 def build_catalogue(adapters: Iterable[str] = ADAPTERS) -> list[dict[str, Any]]:
-    """Return the entries that a bench run begins with."""
+    """Return the initial entries of a bench run."""
     pool = {
         "kind": "pool",
         "name": ENGINE_POOL,
@@ -68,19 +68,19 @@
 
 
 class Operator:
-    """Edits the catalogue of a cluster and records every edit and its answer."""
+    """Edits the catalogue of a cluster and records every edit with its outcome."""
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
         self._numbers = itertools.count(1)
 
     def publish(self, entries: list[dict[str, Any]]) -> None:
-        """Publish entries with the command line, as one edit; raise on failure."""
+        """Publish entries with the command line, as one edit; raises RuntimeError."""
         path = self._cluster.write_catalogue(entries)
         sent_at = time.time()
         done = self._cluster.run_catalogue("apply", str(path))
         if done.returncode != 0:
-            raise RuntimeError(f"catalogue apply: {done.stdout}{done.stderr}")
+            raise RuntimeError(f"catalogue apply failed: {done.stdout}{done.stderr}")
         revision = self.read_revision(self._cluster.live_entries()[0])
         self._record(entries, sent_at, accepted=True, revision=revision)
 
@@ -107,7 +107,7 @@
             )
         except HTTPError:
             status, answer = 0, None
-        accepted = _read_verdict(status, answer)
+        accepted = _is_accepted(status, answer)
         revision = int((answer or {}).get("revision", -1)) if accepted else -1
         self._record([entry], sent_at, accepted=accepted, revision=revision)
         return accepted
@@ -117,14 +117,14 @@
         entry_vm = self._cluster.live_entries()[0]
         status, answer = entry_vm.ask_admin("GET", f"/admin/v1/entries/adapter/{name}")
         if status != 200:
-            raise RuntimeError(f"no entry {name}: {status} {answer}")
+            raise RuntimeError(f"cannot read entry {name}: {status} {answer}")
         return int(answer["revision"])
 
     def read_revision(self, entry: EntryVM) -> int:
         """Return the catalogue revision that an entry VM holds."""
         status, answer = entry.ask_admin("GET", "/admin/v1/revision")
         if status != 200:
-            raise RuntimeError(f"{entry.id} gave no revision: {status} {answer}")
+            raise RuntimeError(f"{entry.id} returned no revision: {status} {answer}")
         return int(answer["revision"])
 
     def read_holders(self) -> dict[str, str]:
@@ -134,9 +134,9 @@
         return {engine: vm for engine, vm in holders.items() if engine[0] != "@"}
 
     def read_state(self, entry: EntryVM, *, final: bool = False) -> StateRead | None:
-        """Record the catalogue as an entry VM holds it; None if it changed meanwhile.
+        """Record an entry VM's catalogue; return None if it changed meanwhile.
 
-        The time is that of the question: what was accepted later is not yet due.
+        The recorded time is the start of the read: later edits are not yet due.
         """
         at = time.time()
         try:
@@ -159,9 +159,9 @@
         revision: int,
         timeout_s: float = EVERYWHERE_TIMEOUT_S,
     ) -> float:
-        """Wait until all live entry VMs hold a revision; return the time it took."""
+        """Wait until all live entry VMs hold a revision; return the seconds it took."""
         for waited in poll_until_timeout(
-            timeout_s, f"revision {revision} is not everywhere"
+            timeout_s, f"revision {revision} is not on all entry VMs"
         ):
             entries = self._cluster.live_entries()
             if all(self.read_revision(entry) >= revision for entry in entries):
@@ -192,13 +192,13 @@
                 self._cluster.recorder.record(edit)
 
 
-def _read_verdict(status: int, answer: Any) -> bool | None:
-    """Return whether an edit was accepted; None if its answer does not tell."""
+def _is_accepted(status: int, answer: Any) -> bool | None:
+    """Tell whether an edit was accepted; None if unknown."""
     if 200 <= status < 300:
         return True
     error = (answer or {}).get("error", {}) if isinstance(answer, dict) else {}
     if status == BAD_REQUEST:
-        raise ValueError(f"the bench made a bad edit: {answer}")
+        raise ValueError(f"invalid catalogue edit: {answer}")
     if status == CONFLICT or error.get("not_run"):
         return False
     return None
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -1,8 +1,8 @@
-"""``make measure-recovery``: how long faults are felt, and by whom.
+"""``make measure-recovery``: how long faults affect callers.
 
-Each measurement starts a cluster of its own under a mixed load and prints one line of
-figures. "Served again" is judged at the engines: the longest pause between two begins
-of runs there, so that it needs no view of the product's own.
+Each measurement starts its own cluster and prints its results. The recovery time of an
+engine is the longest pause between two starts of runs there, as the engine itself
+recorded them.
 """
 
 import argparse
@@ -22,10 +22,10 @@
 
 ROUNDS = 3
 EDITS = 100
-ENTRIES_OF_A_DEPLOYMENT = 9
+ENTRIES_PER_DEPLOYMENT = 9
 OUTAGE_S = 60.0
-WARM_S = 4.0
-WATCHED_S = 10.0
+WARM_UP_S = 4.0
+OBSERVED_S = 10.0
 BUSY = LoadConfig(ADAPTERS[:2], SERVICES, callers=12, think_s=0.02, max_tokens=8)
 MEASURED = replace(SMALL, engines=4, services=2, entries=4)
 
@@ -35,35 +35,35 @@
     since: float,
     until: float,
 ) -> dict[str, float]:
-    """Return each engine's longest time without a begin of a run, in seconds."""
+    """Return each engine's longest time without a start of a run, in seconds."""
     starts_by_engine: dict[str, list[float]] = {}
     for start in history.of(RunStarted):
         starts_by_engine.setdefault(start.endpoint, []).append(start.at)
     pauses = {}
     for engine, starts in starts_by_engine.items():
-        within = [at for at in starts if since <= at <= until]
-        moments = [since, *within, until]
+        in_interval = [at for at in starts if since <= at <= until]
+        moments = [since, *in_interval, until]
         pauses[engine] = max(after - before for before, after in pairwise(moments))
     return pauses
 
 
 def measure_pauses(act: Callable[[Scenario, str], object], title: str) -> None:
-    """Act on the holder of an engine; print the longest pause of those it held."""
+    """Act on the lease holder of an engine; print the longest pause of its engines."""
     pauses = []
     for _ in range(ROUNDS):
         with running_scenario(MEASURED) as scenario, scenario.load(BUSY):
-            time.sleep(WARM_S)
-            usual = time.time()
-            time.sleep(WARM_S)
+            time.sleep(WARM_UP_S)
+            baseline_from = time.time()
+            time.sleep(WARM_UP_S)
             holder_by_engine = scenario.operator.read_holders()
             holder = holder_by_engine["g1"]
-            began = time.time()
+            started_at = time.time()
             act(scenario, holder)
-            time.sleep(max(0.0, began + WATCHED_S - time.time()))
+            time.sleep(max(0.0, started_at + OBSERVED_S - time.time()))
             history = scenario.history()
         held = [name for name, vm in holder_by_engine.items() if vm == holder]
-        before = find_longest_pauses(history, usual, began)
-        after = find_longest_pauses(history, began, began + WATCHED_S)
+        before = find_longest_pauses(history, baseline_from, started_at)
+        after = find_longest_pauses(history, started_at, started_at + OBSERVED_S)
         worst = max(held, key=lambda engine: after[engine])
         pauses.append(after[worst])
         print(
@@ -75,8 +75,8 @@
 
 
 def measure_edits(*, cut: bool) -> None:
-    """Print how long accepted edits take to be in force on all of nine entry VMs."""
-    config = replace(MEASURED, entries=ENTRIES_OF_A_DEPLOYMENT, engines=2)
+    """Print how long accepted edits take to take effect on nine entry VMs."""
+    config = replace(MEASURED, entries=ENTRIES_PER_DEPLOYMENT, engines=2)
     times = []
     with running_scenario(config) as scenario:
         operator = scenario.operator
@@ -86,21 +86,21 @@
             log.set_faults(cut=[entries[-1].address])
         for number in range(EDITS):
             operator.set_version(ADAPTERS[0], str(number + 2), entries[0])
-            began = time.monotonic()
+            started_at = time.monotonic()
             revision = operator.read_revision(entries[0])
             operator.wait_until_everywhere(revision)
-            times.append(time.monotonic() - began)
-    title = "edit in force on 9 entry VMs"
+            times.append(time.monotonic() - started_at)
+    title = "edit in effect on 9 entry VMs"
     report(f"{title}, one cut from the log" if cut else title, times)
 
 
 def measure_killed_entry() -> None:
-    """Print what callers lost by a killed entry VM."""
+    """Print how many answers a killed entry VM cut off."""
     with running_scenario(MEASURED) as scenario:
         with scenario.load(BUSY):
-            time.sleep(WARM_S)
+            time.sleep(WARM_UP_S)
             scenario.cluster.kill_entry(scenario.operator.read_holders()["g1"])
-            time.sleep(WARM_S)
+            time.sleep(WARM_UP_S)
         verdict = scenario.evaluate()
         history = scenario.history()
     cut_off = [
@@ -113,37 +113,37 @@
 
 
 def measure_rolling() -> None:
-    """Print what callers see while all entry VMs are replaced one by one."""
+    """Print the outcomes while all entry VMs are replaced one by one."""
     with running_scenario(MEASURED) as scenario:
         cluster = scenario.cluster
         with scenario.load(BUSY) as load:
-            time.sleep(WARM_S)
+            time.sleep(WARM_UP_S)
             for number, entry in enumerate(cluster.live_entries()):
                 successor = cluster.start_entry(f"n{number}")
                 cluster.wait_until_ready(successor)
                 load.add_seed(successor.callers_address)
                 took = cluster.stop_entry(entry.id)
                 print(f"  {entry.id} replaced, its stop took {took:.1f} s", flush=True)
-            time.sleep(WARM_S)
+            time.sleep(WARM_UP_S)
         verdict = scenario.evaluate()
         print_outcomes(scenario.history(), 0.0, time.time())
     print_verdict(verdict, "rolling replacement")
 
 
 def measure_outage(*, kill_holder: bool) -> None:
-    """Print what callers receive during a long outage of the log."""
+    """Print the outcomes during a long outage of the log."""
     title = "log outage of 60 s" + (", a lease holder dies" if kill_holder else "")
     with running_scenario(MEASURED) as scenario:
         log = scenario.cluster.standin_by_id["log"]
         with scenario.load(BUSY):
-            time.sleep(WARM_S)
+            time.sleep(WARM_UP_S)
             log.set_faults(down=True)
-            began = time.time()
+            started_at = time.time()
             if kill_holder:
-                time.sleep(WARM_S)
+                time.sleep(WARM_UP_S)
                 holders = scenario.operator.read_holders()
                 scenario.cluster.kill_entry(holders["g1"])
-            time.sleep(OUTAGE_S - (time.time() - began))
+            time.sleep(OUTAGE_S - (time.time() - started_at))
             ended = time.time()
             log.set_faults(down=None)
             wait_until(
@@ -152,25 +152,25 @@
                 ),
                 "not ready after the outage",
             )
-            time.sleep(WARM_S)
+            time.sleep(WARM_UP_S)
         verdict = scenario.evaluate()
         history = scenario.history()
     print(title)
-    print_outcomes(history, began, ended)
+    print_outcomes(history, started_at, ended)
     print_verdict(verdict, title)
 
 
 def print_outcomes(history: History, since: float, until: float) -> None:
-    """Print by kind of request what the sends of a time came to."""
+    """Print the outcomes of the sends in an interval by kind of request."""
     counts: dict[str, Counter[str]] = {}
     for received in history.received_by_request_id.values():
         sent = history.sent_by_request_id[received.request_id]
         if not since <= sent.at <= until:
             continue
         kind = "model" if sent.entry in ADAPTERS else "call"
-        repeat = "keyed" if sent.key else "free" if sent.idempotent else "marked"
+        retry = "keyed" if sent.key else "free" if sent.idempotent else "marked"
         code = f" {received.code}" if received.code else ""
-        counts.setdefault(f"{kind}, {repeat}", Counter())[
+        counts.setdefault(f"{kind}, {retry}", Counter())[
             f"{received.outcome}{code}"
         ] += 1
     for kind, outcomes in sorted(counts.items()):
@@ -190,7 +190,7 @@
 
 
 def print_verdict(verdict: Verdict, title: str) -> None:
-    """Print the verdict and the violations behind it."""
+    """Print the violations and the summary."""
     if verdict.violations:
         print(verdict.describe_violations())
     print(verdict.summarize(title), flush=True)
--- a/bench/scenario.py
+++ b/bench/scenario.py
@@ -1,4 +1,4 @@
-"""A small cluster with a catalogue and callers, for tests of single promises."""
+"""A small cluster with a catalogue and callers, for tests of individual promises."""
 
 import itertools
 import random
@@ -34,7 +34,7 @@
 
 @dataclass
 class FixedEntry:
-    """An entry list of a caller that stays with one entry VM."""
+    """An entry list with one entry VM that is never dropped."""
 
     address: str
 
@@ -43,15 +43,15 @@
         return self.address
 
     def drop(self, address: str) -> None:
-        """Stay with the address all the same."""
+        """Do nothing: the address stays in use."""
 
     def add_seed(self, address: str) -> None:
-        """Stay with the one address."""
+        """Do nothing: there is only one address."""
 
 
 @dataclass
 class Scenario:
-    """A cluster that serves, and what a test needs to act on it."""
+    """A ready cluster, with an operator, callers and jobs for a test."""
 
     cluster: Cluster
     operator: Operator
@@ -64,7 +64,7 @@
         return [entry.callers_address for entry in self.cluster.live_entries()]
 
     def caller(self, at: str = "", name: str = "agency-1") -> Caller:
-        """Return a caller, one that stays with the entry VM ``at`` if that is given."""
+        """Return a caller, which only uses the entry VM ``at`` if that is given."""
         source = random.Random(name)
         if at:
             entry = self.cluster.entry_by_id[at]
@@ -84,7 +84,7 @@
         max_tokens: int = 8,
         text: str = "",
     ) -> Job:
-        """Return a job with a number of its own."""
+        """Return a job with a unique id."""
         default = SERVICES[0] if kind.value.endswith("call") else ADAPTERS[0]
         return Job(
             f"job{next(self.numbers)}",
@@ -95,7 +95,7 @@
         )
 
     def begin(self, caller: Caller, job: Job) -> "Future[Outcome]":
-        """Let a caller work on a job in the background until its final answer."""
+        """Let a caller finish a job in the background."""
         return self.threads.submit(caller.finish, job)
 
     @contextmanager
@@ -115,7 +115,7 @@
         return collect_history(self.cluster)
 
     def run_end(self, job: Job) -> str:
-        """Return how the last run of a job at an engine ended, empty if it goes on."""
+        """Return why a job's last run at an engine ended, empty while it runs."""
         ends = [
             run.ended.reason if run.ended else ""
             for run in self.history().runs
@@ -149,9 +149,9 @@
         yield Scenario(cluster, operator, threads)
 
 
-def wait_until(condition: Callable[[], bool], complaint: str) -> float:
-    """Wait for a condition; return the time it took, raise when it takes too long."""
-    for waited in poll_until_timeout(CONDITION_TIMEOUT_S, complaint):
+def wait_until(condition: Callable[[], bool], message: str) -> float:
+    """Wait for a condition; return the seconds it took. Raises StartError."""
+    for waited in poll_until_timeout(CONDITION_TIMEOUT_S, message):
         if condition():
             return waited
     raise AssertionError("unreachable")
--- a/bench/tries.py
+++ b/bench/tries.py
@@ -1,4 +1,4 @@
-"""One try of a job: sends it to one entry VM and reads what comes back."""
+"""One try of a job: sends it to one entry VM and reads the response."""
 
 import hashlib
 import json
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True)
 class Answer:
-    """What a try came to, with the entry VM's advice on sending again."""
+    """The outcome of a try, with the retry delay that the entry VM advised."""
 
     received: Received
     retry_after_s: float | None = None
 
 
 def send_try(job: Job, request_id: str, address: str, timeout_s: float) -> Answer:
-    """Send a job once to ``address`` (HOST:PORT), on a connection of its own."""
+    """Send a job once to ``address`` (HOST:PORT) on a new connection."""
     host, _, port = address.rpartition(":")
     with urllib3.HTTPConnectionPool(
         host,
@@ -91,7 +91,7 @@
     request_id: str,
     response: urllib3.BaseHTTPResponse,
 ) -> Answer:
-    """Read a stream; one without its end mark was cut off."""
+    """Read a stream; without its end marker it counts as broken."""
     text = ""
     ran = response.headers.get("X-Adapter", "")
     for event in _read_events(response):
@@ -103,7 +103,7 @@
             return _refusal(request_id, 200, piece)
         choice = (piece.get("choices") or [{}])[0]
         text += choice.get("text") or choice.get("delta", {}).get("content", "")
-    return _ended(request_id, Outcome.BROKEN, "stream without its end")
+    return _ended(request_id, Outcome.BROKEN, "stream without end marker")
 
 
 def _read_events(response: urllib3.BaseHTTPResponse) -> Iterator[str]:
@@ -126,7 +126,7 @@
 ) -> Answer:
     named = response.headers.get("X-Adapter", "")
     if not defect and job.kind in MODEL_KINDS and named != ran:
-        defect = f"the head names {named}, the body {ran}"
+        defect = f"the header names {named}, the body {ran}"
     revision = response.headers.get("X-Catalogue-Revision", "")
     received = Received(
         time.time(),
@@ -145,7 +145,7 @@
     request_id: str,
     response: urllib3.BaseHTTPResponse,
 ) -> Answer:
-    """Read an answer other than success; a plain service may give one of its own."""
+    """Read an error response, of the entry VM or of a plain service."""
     body = _parse(response.read())
     typed = "not_run" in (body.get("error") or {})
     if not typed and job.kind not in MODEL_KINDS and "X-Endpoint" in response.headers:
@@ -158,7 +158,7 @@
 
 
 def _refusal(request_id: str, status: int, body: dict[str, Any]) -> Answer:
-    """Return a refusal; one without a typed error is recorded as untyped."""
+    """Return the answer for an error body; ``untyped_*`` if it has no typed error."""
     error = body.get("error")
     if not isinstance(error, dict) or "not_run" not in error:
         return _ended(request_id, Outcome.UNKNOWN, f"untyped_{status}")
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""``make demo`` as an operator sees it, with short phases."""
+"""``make demo`` as a process, with short phases."""
 
 import re
 import subprocess
@@ -14,13 +14,12 @@
 
 @pytest.mark.xdist_group("demo")
 class TestDemo:
-    """The whole path, with a version change, a kill, a crash and a planned stop."""
+    """A demo run with a version change, a kill, a crash and a planned stop."""
 
     def test_nothing_is_wrong_doubled_or_lost(self) -> None:
-        """A newcomer runs the demo and believes what its last line says.
+        """Guards against lost, doubled or wrong answers while VMs and engines fail.
 
-        An entry VM is killed, an engine crashes and another entry VM is stopped while
-        callers send; nobody may notice but those whose connection ended.
+        Only requests whose connection ended may have an unknown outcome.
         """
         done = subprocess.run(
             [sys.executable, "-m", "bench.demo", "--phase-s", "2"],
--- a/tests/test_demo_cluster.py
+++ b/tests/test_demo_cluster.py
@@ -1,4 +1,4 @@
-"""The bench's own parts: processes that end, histories collected, callers' verdicts."""
+"""Parts of the bench: processes, collected histories, tries and defect checks."""
 
 import random
 import time
@@ -42,7 +42,7 @@
             running_cluster(STANDINS_ONLY, tmp_path) as cluster,
         ):
             assert all(process.is_running for process in cluster.processes)
-            raise RuntimeError("a test broke off")
+            raise RuntimeError("failure in the block")
         assert len(cluster.processes) == 5
         assert not any(process.is_running for process in cluster.processes)
 
@@ -83,7 +83,7 @@
 
 
 class TestTries:
-    """One try of a job against whatever answers."""
+    """One try of a job against a service or a closed port."""
 
     def test_an_answer_of_a_service_is_its_own(self, cluster: Cluster) -> None:
         address = cluster.standin_by_id["s1"].url.removeprefix("http://")
@@ -109,9 +109,9 @@
 
 
 class TestJobs:
-    """How callers judge an answer."""
+    """Callers detect incomplete and foreign answers."""
 
-    def test_a_cut_and_a_foreign_answer_are_told_apart(self) -> None:
+    def test_a_cut_and_a_foreign_answer_have_different_defects(self) -> None:
         job = Job("job1", JobKind.STREAM, "summaries", max_tokens=4)
         other = Job("job2", JobKind.STREAM, "summaries", max_tokens=4)
         whole = job.expected_text("summaries@1")
@@ -122,11 +122,11 @@
 
 
 class TestEntryList:
-    """Callers without a working entry VM fall back on what they knew first."""
+    """Callers without a reachable entry VM fall back on their seeds."""
 
-    def test_nobody_answers(self) -> None:
+    def test_no_entry_vm_answers(self) -> None:
         seeds = [f"127.0.0.1:{port}" for port in find_free_ports("127.0.0.1", 2)]
         entries = EntryList(seeds, random.Random(1))
-        began = time.monotonic()
+        started_at = time.monotonic()
         assert entries.choose() in seeds
-        assert time.monotonic() - began < 2.0
+        assert time.monotonic() - started_at < 2.0
