--- a/bench/soak.py
+++ b/bench/soak.py
@@ -181,7 +181,7 @@
     lines += [str(violation) for violation in found[:10]]
     if found:
         lines += [
-            f"  {f.began_at:.2f} to {f.ended_at:.2f} {f.name} {f.subject}"
+            f"  {f.started_at:.2f} to {f.ended_at:.2f} {f.name} {f.subject}"
             for f in soak.faults
         ]
     return "\n".join(lines)
--- a/bench/soak_checks.py
+++ b/bench/soak_checks.py
@@ -43,12 +43,12 @@
 
     name: str
     subject: str
-    began_at: float
+    started_at: float
     ended_at: float
 
-    def overlaps(self, began_at: float, ended_at: float) -> bool:
+    def overlaps(self, started_at: float, ended_at: float) -> bool:
         """Tell whether the fault was active at any time in the interval."""
-        return self.began_at <= ended_at and began_at <= self.ended_at
+        return self.started_at <= ended_at and started_at <= self.ended_at
 
 
 @dataclass
@@ -178,10 +178,10 @@
     assert life.ended_at is not None
     paused_s = 0.0
     running_from = life.stopped_at
-    for fault in sorted(faults, key=lambda fault: fault.began_at):
+    for fault in sorted(faults, key=lambda fault: fault.started_at):
         if fault.name != PAUSED or fault.subject != life.vm:
             continue
-        paused_from = max(fault.began_at, running_from)
+        paused_from = max(fault.started_at, running_from)
         running_from = max(running_from, min(fault.ended_at, life.ended_at))
         paused_s += max(0.0, running_from - paused_from)
     return life.ended_at - life.stopped_at - paused_s
--- a/bench/soak_faults.py
+++ b/bench/soak_faults.py
@@ -285,16 +285,18 @@
         self._spans = spans
         self._name = name
         self._subject = subject
-        self._began_at = 0.0
+        self._started_at = 0.0
 
     async def __aenter__(self) -> None:
-        self._began_at = time.monotonic()
-        self._open = FaultSpan(self._name, self._subject, self._began_at, float("inf"))
+        self._started_at = time.monotonic()
+        self._open = FaultSpan(
+            self._name, self._subject, self._started_at, float("inf")
+        )
         self._spans.append(self._open)
 
     async def __aexit__(self, *_: object) -> None:
         with suppress(ValueError):
             self._spans.remove(self._open)
         self._spans.append(
-            FaultSpan(self._name, self._subject, self._began_at, time.monotonic())
+            FaultSpan(self._name, self._subject, self._started_at, time.monotonic())
         )
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -110,7 +110,7 @@
         assert promises(CALL, lives=(late,), faults=(other,)) == ["planned stop"]
         short = replace(paused, ended_at=signalled_at + 1.0)
         assert promises(CALL, lives=(late,), faults=(short,)) == ["planned stop"]
-        twice = (short, replace(short, began_at=signalled_at - 0.5))
+        twice = (short, replace(short, started_at=signalled_at - 0.5))
         assert promises(CALL, lives=(late,), faults=twice) == ["planned stop"]
 
     def test_an_answer_cut_by_a_planned_stop(self) -> None:
