--- a/bench/checker.py
+++ b/bench/checker.py
@@ -282,7 +282,7 @@
 
 
 def find_violations(history: History, bounds: Bounds | None = None) -> list[Violation]:
-    """Return every broken promise of a history."""
+    """Return all violations of a history."""
     bounds = bounds or Bounds()
     return [
         violation
--- a/bench/soak_checks.py
+++ b/bench/soak_checks.py
@@ -68,7 +68,7 @@
 
 
 def find_violations(evidence: Evidence) -> list[Violation]:
-    """Return every broken promise."""
+    """Return all violations found in the evidence."""
     runs_by_id: dict[str, list[Run]] = {}
     for run in evidence.runs:
         runs_by_id.setdefault(run.request_id, []).append(run)
@@ -195,7 +195,7 @@
             yield Violation(
                 "lives", life.vm, f"exited unexpectedly, exit code {life.exit_code}"
             )
-        elif not life.began and life.exit_code == -signal.SIGTERM:
+        elif not life.has_started and life.exit_code == -signal.SIGTERM:
             continue  # stopped before it could serve requests or handle signals
         elif life.exit_code != 0:
             yield Violation("planned stop", life.vm, f"exit code {life.exit_code}")
@@ -216,8 +216,8 @@
     for attempt in evidence.attempts:
         here = attempt.vm == life.vm and attempt.sent_at >= life.started_at
         during = attempt.ended_at >= stop[0] and attempt.sent_at <= stop[1]
-        began = attempt.status == 200 and not attempt.whole
-        if here and during and began and attempt.kind is not Kind.LONG:
+        cut_off = attempt.status == 200 and not attempt.whole
+        if here and during and cut_off and attempt.kind is not Kind.LONG:
             yield Violation(
                 "planned stop", attempt.request_id, "its response was cut off"
             )
--- a/bench/soak_site.py
+++ b/bench/soak_site.py
@@ -32,12 +32,12 @@
 class Life:
     """One process of an entry VM; monotonic times, None until they happen.
 
-    ``began`` is true if the process logged that it had started.
+    ``has_started`` is true if the process logged that it had started.
     """
 
     vm: str
     started_at: float
-    began: bool = False
+    has_started: bool = False
     stopped_at: float | None = None
     killed_at: float | None = None
     ended_at: float | None = None
@@ -132,7 +132,7 @@
         if life.ended_at is None:
             life.ended_at, life.exit_code = time.monotonic(), code
             log = self._log_path(len(self.lives) - 1).read_bytes()
-            life.began = b'"event":"started"' in log
+            life.has_started = b'"event":"started"' in log
 
     def _log_path(self, number: int) -> Path:
         return self.directory / f"{self.name}-{number}.log"
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -95,7 +95,7 @@
     def test_a_process_that_drops_its_work_at_the_signal(self) -> None:
         dropped = replace(STOPPED, exit_code=-signal.SIGTERM)
         assert promises(CALL, lives=(dropped,)) == ["planned stop"]
-        assert promises(CALL, lives=(replace(dropped, began=False),)) == []
+        assert promises(CALL, lives=(replace(dropped, has_started=False),)) == []
 
     def test_a_stop_that_takes_too_long(self) -> None:
         slow = replace(STOPPED, ended_at=STOPPED.stopped_at + GRACE_S + 1.0)
