--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -32,7 +32,7 @@
     Process,
     find_free_port,
     find_free_ports,
-    own_network,
+    loopback_prefix,
     poll_until_timeout,
 )
 
@@ -120,7 +120,7 @@
         number = next(self._numbers)
         earlier = self.entry_by_id.get(entry_id)
         address = address or (
-            earlier.address if earlier else f"{own_network()}.{11 + number % 200}"
+            earlier.address if earlier else f"{loopback_prefix()}.{11 + number % 200}"
         )
         uses = ("callers", "admin", "peers")
         ports = dict(zip(uses, find_free_ports(address, len(uses)), strict=True))
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -130,7 +130,7 @@
     return ports
 
 
-def own_network() -> str:
+def loopback_prefix() -> str:
     """Return the first three bytes of the loopback addresses of this process.
 
     Test workers run clusters concurrently; on shared addresses another worker could
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -140,7 +140,7 @@
         ],
     ),
     (
-        "a run begins at an endpoint that has long been leaving",
+        "a run starts at an endpoint that has long been leaving",
         {Promise.LEAVING},
         [*WHOLE_RUN, EndpointState(2.0, "g1", leaving=True)],
     ),
