--- a/bench/bench.py
+++ b/bench/bench.py
@@ -168,7 +168,7 @@
         chosen = [d for d in self._deployments if d.policy == "chosen"]
         received = self._send(trace, scenario.name, seconds, [], chosen)
         for deployment in chosen:
-            deployment.wait_until_calm()
+            deployment.wait_until_idle()
         return interactive_wait_p95(received["chosen"], min(SETTLE_S, seconds / 2))
 
     def run(self, scenario: Scenario) -> dict[str, Observation]:
@@ -184,7 +184,7 @@
         observations = {}
         for deployment, cpu_s in zip(self._deployments, before, strict=True):
             used_s = deployment.entry_cpu_s() - cpu_s
-            calm_after_s = deployment.wait_until_calm()
+            calm_after_s = deployment.wait_until_idle()
             if calm_after_s > 5.0:
                 print(f"{scenario.name}: {deployment.policy} still runs work after 5 s")
             observations[deployment.policy] = Observation(
--- a/bench/bench_deployment.py
+++ b/bench/bench_deployment.py
@@ -168,7 +168,7 @@
             events_by_engine[engine_id] = events
         return events_by_engine
 
-    def wait_until_calm(self) -> float:
+    def wait_until_idle(self) -> float:
         """Wait until no engine runs anything; return the time it took."""
         started = time.monotonic()
         while (waited := time.monotonic() - started) < CALM_TIMEOUT_S:
