--- a/bench/bench.py
+++ b/bench/bench.py
@@ -1,8 +1,8 @@
-"""Compares the chosen policy with the baseline on real entry VMs and stand-ins.
+"""Compare the chosen policy with the baseline on real entry VMs and stand-ins.
 
-Run with ``make bench PROFILE=lernwerk``. Two deployments, one for each policy, stand
-side by side as separate processes and get the same trace of arrivals at the same
-moments, so that each figure is a ratio from one run.
+Run with ``make bench PROFILE=lernwerk``. Two deployments, one per policy, run side by
+side as separate processes and receive the same trace of arrivals at the same times, so
+that both policies run under the same conditions.
 """
 
 import argparse
@@ -30,22 +30,22 @@
 WINDOW_S = 26.0
 STORE_WINDOW_S = 36.0
 FAULT_AT_S = 10.0
-LEAD_S = 1.0
+START_DELAY_S = 1.0
 SEED = 1
 IDLE_REQUESTS = 30
 IDLE_PAUSE_S = 0.5
 WARM_UP_S = 40.0
 CAPACITY_S = 24.0
 CAPACITY_STEPS = (0.8, 1.0, 1.25, 1.5)
-"""Loads tried to find the capacity, as parts of the profile's estimate."""
+"""Loads offered to find the capacity, as fractions of the profile's estimate."""
 
-CODES_OF_OWN_FAULTS = frozenset({"bad_request", "not_found", "untyped"})
+BENCH_ERROR_CODES = frozenset({"bad_request", "not_found", "untyped"})
 FIRST_TOKEN_S = 1.4
-"""The letter's first-token wait for 95 in 100: what a served load has to meet."""
+"""Limit of the p95 first-token wait that a load within capacity meets, in seconds."""
 
 HOT_CUSTOMER = "customer-2"
-BOUND_S = 600.0
-"""The whole run; scenarios that would end later are left out and named."""
+MAX_RUN_S = 600.0
+"""Time limit of the whole run; scenarios that would exceed it are skipped."""
 
 SCENARIOS = (
     Scenario("0.9x", 0.9, WINDOW_S),
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True)
 class FaultChange:
-    """A fault switched on a stand-in at a moment of a scenario."""
+    """A fault setting applied to a stand-in at a time of a scenario."""
 
     at: float
     standin_id: str
@@ -77,7 +77,7 @@
 
 
 def fault_changes(scenario: Scenario) -> list[FaultChange]:
-    """Return what happens to the stand-ins in a scenario, in order."""
+    """Return the fault changes of a scenario, in order of time."""
     changes = []
     if scenario.cold_restart_at is not None:
         changes.append(FaultChange(scenario.cold_restart_at, "g1", {"crash": True}))
@@ -93,14 +93,14 @@
 
 
 def check_codes(received: Sequence[Received]) -> None:
-    """Raise if the bench itself sent what no entry VM could serve."""
+    """Raise ValueError if a refusal is due to an invalid request of the bench."""
     for item in received:
-        if item.code in CODES_OF_OWN_FAULTS:
-            raise ValueError(f"a fault of the bench: {item}")
+        if item.code in BENCH_ERROR_CODES:
+            raise ValueError(f"invalid request sent by the bench: {item}")
 
 
 class Bench:
-    """Runs scenarios on all deployments at the same moments."""
+    """Runs each scenario on all deployments at the same time."""
 
     def __init__(
         self,
@@ -129,21 +129,21 @@
         )
         received = self._send(trace, "idle", IDLE_PAUSE_S * len(trace) + 1.0, [])
         waits = [item.wait_s for items in received.values() for item in items[5:]]
-        middle = percentile(waits, 0.5)
-        # A request that joins a running batch waits for the step that runs. The p95
-        # would carry the machine's other work into every stall.
-        self.idle_wait_s = middle + self.profile.step_s
+        median = percentile(waits, 0.5)
+        # A request that joins a running batch waits for the current step. The median
+        # keeps other work on the machine out of the reference value.
+        self.idle_wait_s = median + self.profile.step_s
         print(
-            f"first token on a loaded idle engine: p50 {middle:.3f} s,"
+            f"first token on a loaded idle engine: p50 {median:.3f} s,"
             f" p95 {percentile(waits, 0.95):.3f} s;"
             f" stalls count beyond p50 and a step, {self.idle_wait_s:.3f} s",
             flush=True,
         )
 
     def measure_capacity(self) -> None:
-        """Find the greatest load that the chosen policy serves as the letter asks.
+        """Find the highest load at which the chosen policy meets ``FIRST_TOKEN_S``.
 
-        If it serves none of those tried so, the least stands for the capacity.
+        If no step meets it, the lowest step is used as the capacity.
         """
         estimate = self.profile.capacity_per_s
         self._try_load(CAPACITY_STEPS[0], WARM_UP_S)
@@ -172,7 +172,7 @@
         return interactive_wait_p95(received["chosen"], min(SETTLE_S, seconds / 2))
 
     def run(self, scenario: Scenario) -> dict[str, Observation]:
-        """Run a scenario; return what was seen by policy."""
+        """Run a scenario; return the observations by policy."""
         offered = replace(scenario, load=scenario.load * self.capacity_share)
         trace = tuple(arrivals(self.profile, offered, SEED))
         for deployment in self._deployments:
@@ -184,8 +184,8 @@
         observations = {}
         for deployment, cpu_s in zip(self._deployments, before, strict=True):
             used_s = deployment.entry_cpu_s() - cpu_s
-            calm_after_s = deployment.wait_until_idle()
-            if calm_after_s > 5.0:
+            idle_after_s = deployment.wait_until_idle()
+            if idle_after_s > 5.0:
                 print(f"{scenario.name}: {deployment.policy} still runs work after 5 s")
             observations[deployment.policy] = Observation(
                 received=received[deployment.policy],
@@ -206,7 +206,7 @@
         deployments: Sequence[Deployment] = (),
     ) -> dict[str, list[Received]]:
         deployments = deployments or self._deployments
-        self._start_at = time.time() + LEAD_S
+        self._start_at = time.time() + START_DELAY_S
         futures = {
             deployment.policy: self._executor.submit(
                 send_trace,
@@ -238,7 +238,7 @@
     directory: Path,
     started: float,
 ) -> None:
-    """Run the scenarios and print one table."""
+    """Run the scenarios and print the report."""
     with ExitStack() as stack:
         executor = stack.enter_context(
             ProcessPoolExecutor(len(POLICIES), get_context("spawn"))
@@ -253,7 +253,7 @@
         bench.measure_capacity()
         observed: dict[str, dict[str, Observation]] = {}
         for scenario in scenarios:
-            if time.monotonic() - started + scenario.seconds + 8.0 > BOUND_S:
+            if time.monotonic() - started + scenario.seconds + 8.0 > MAX_RUN_S:
                 print(f"not run, no time left: {scenario.name}")
                 continue
             observed[scenario.name] = bench.run(scenario)
--- a/bench/bench_callers.py
+++ b/bench/bench_callers.py
@@ -1,7 +1,7 @@
-"""Callers of the bench: an open loop that sends a trace of arrivals on time.
+"""Open-loop load generator that sends a trace of arrivals on schedule.
 
-A caller never waits for another one, so a slow system meets the same load as a quick
-one. Each request is sent once: a refusal is a result, not a reason to try again.
+Requests do not wait for one another, so the offered load does not depend on the speed
+of the system. Each request is sent once; refused requests are not retried.
 """
 
 import json
@@ -17,7 +17,7 @@
 from bench.profiles import Arrival
 
 CONNECT_TIMEOUT_S = 2.0
-# Longer than a token takes on an engine that is four times as slow.
+# Exceeds the token time of an engine that the slow-engine fault slows down.
 MIN_READ_TIMEOUT_S = 0.6
 JOIN_TIMEOUT_S = 5.0
 DATA_PREFIX = b"data: "
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class TraceOrder:
-    """A trace to send; ``start_at`` is wall-clock time, the rest counts from it."""
+    """A trace to send; ``start_at`` is a wall-clock time, other times count from it."""
 
     label: str
     addresses: tuple[str, ...]
@@ -50,7 +50,7 @@
 
 @dataclass
 class Received:
-    """What the caller of one arrival got; times in seconds from the start."""
+    """The result of one arrival; times in seconds from the start of the trace."""
 
     arrival: Arrival
     sent_at: float = 0.0
@@ -69,21 +69,21 @@
 
 
 def send_trace(order: TraceOrder) -> list[Received]:
-    """Send every arrival at its time; return what came back, in order."""
+    """Send every arrival at its time; return the results in order of arrival."""
     callers = _Callers(order)
     threads = [callers.start(arrival) for arrival in order.arrivals]
     for thread in threads:
-        thread.join(max(0.0, callers.left_s() + JOIN_TIMEOUT_S))
+        thread.join(max(0.0, callers.remaining_s() + JOIN_TIMEOUT_S))
     return callers.received
 
 
 def entry_name(arrival: Arrival) -> str:
-    """Return the catalogue entry that an arrival asks for."""
+    """Return the name of the catalogue entry that an arrival requests."""
     return f"{arrival.adapter}-{arrival.work_class.value}"
 
 
 class _Callers:
-    """Sends on threads, one for each open request."""
+    """Sends requests, each on its own thread."""
 
     def __init__(self, order: TraceOrder) -> None:
         self._order = order
@@ -98,11 +98,11 @@
     def now(self) -> float:
         return time.time() - self._order.start_at
 
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         return self._order.seconds - self.now()
 
     def start(self, arrival: Arrival) -> threading.Thread:
-        """Wait until an arrival is due and start its caller."""
+        """Wait until an arrival is due and start the thread that sends it."""
         time.sleep(max(0.0, arrival.at - self.now()))
         received = Received(arrival)
         number = len(self.received)
@@ -121,7 +121,7 @@
         try:
             response = self._post(received.arrival, number, address)
         except TimeoutError:
-            received.ending = self._ending_of_wait()
+            received.ending = self._ending_on_timeout()
             received.code = "no first token in time"
         except (HTTPError, OSError) as error:
             received.ending = Ending.BROKEN
@@ -130,8 +130,8 @@
             self._read(received, response)
         received.ended_at = self.now()
 
-    def _ending_of_wait(self) -> Ending:
-        return Ending.WAITING if self.left_s() <= 0.0 else Ending.GAVE_UP
+    def _ending_on_timeout(self) -> Ending:
+        return Ending.WAITING if self.remaining_s() <= 0.0 else Ending.GAVE_UP
 
     def _post(
         self,
@@ -166,7 +166,7 @@
     def _read(self, received: Received, response: urllib3.BaseHTTPResponse) -> None:
         if response.status != 200:
             received.ending = Ending.REFUSED
-            received.code = _code_of(response.read())
+            received.code = _error_code(response.read())
             response.release_conn()
             return
         received.endpoint = response.headers.get("X-Endpoint", "")
@@ -175,7 +175,7 @@
         try:
             self._read_stream(received, response)
         except ReadTimeoutError:
-            flowing = received.first_at is not None and self.left_s() <= 0.0
+            flowing = received.first_at is not None and self.remaining_s() <= 0.0
             received.ending = Ending.FLOWING if flowing else Ending.BROKEN
             received.code = "" if flowing else "stream stands still"
         except (HTTPError, OSError) as error:
@@ -190,27 +190,27 @@
         received: Received,
         response: urllib3.BaseHTTPResponse,
     ) -> None:
-        """Read events until the end mark, an error or the end of the run."""
-        rest = b""
+        """Read events until the end marker, an error or the end of the run."""
+        remainder = b""
         for chunk in response.stream(amt=4096):
-            *events, rest = (rest + chunk).split(b"\n\n")
+            *events, remainder = (remainder + chunk).split(b"\n\n")
             for event in events:
                 if event.startswith(END_OF_STREAM):
                     received.ending, received.code = Ending.WHOLE, ""
                 elif event.startswith(ERROR_PREFIX):
-                    received.code = _code_of(event.removeprefix(DATA_PREFIX))
+                    received.code = _error_code(event.removeprefix(DATA_PREFIX))
                     return
                 elif received.first_at is None:
                     received.first_at = self.now()
                     received.tokens = 1
                 else:
                     received.tokens += 1
-            if received.ending is not Ending.WHOLE and self.left_s() <= 0.0:
+            if received.ending is not Ending.WHOLE and self.remaining_s() <= 0.0:
                 received.ending, received.code = Ending.FLOWING, ""
                 return
 
 
-def _code_of(body: bytes) -> str:
+def _error_code(body: bytes) -> str:
     try:
         return str(json.loads(body)["error"]["code"])
     except (ValueError, KeyError, TypeError):
--- a/bench/bench_cost.py
+++ b/bench/bench_cost.py
@@ -1,8 +1,8 @@
-"""What an entry VM costs: processor time, added latency, memory and threads.
+"""Measure the overhead of an entry VM: CPU time, latency, memory and threads.
 
-Run with ``make bench-cost``. One entry VM, one engine and one plain service as
-separate processes; the way through the entry VM and the way straight to the endpoint
-are measured by turns in the same run.
+Run with ``make bench-cost``. One entry VM, one engine and one plain service run as
+separate processes. Requests through the entry VM and requests sent straight to the
+endpoint alternate in the same run.
 """
 
 import tempfile
@@ -49,8 +49,8 @@
 )
 
 
-def evenly(count: int, pause_s: float, tokens: int) -> tuple[Arrival, ...]:
-    """Return arrivals with equal pauses."""
+def evenly_spaced(count: int, pause_s: float, tokens: int) -> tuple[Arrival, ...]:
+    """Return arrivals at equal intervals."""
     return tuple(
         Arrival(
             at=pause_s * number,
@@ -70,7 +70,7 @@
     arrivals: tuple[Arrival, ...],
     seconds: float,
 ) -> list[Received]:
-    """Send arrivals to one address; every answer must be whole or still flow."""
+    """Send arrivals to one address; raise ValueError if any request failed."""
     received = send_trace(
         TraceOrder(label, (address,), arrivals, time.time() + 0.1, seconds)
     )
@@ -89,7 +89,7 @@
         self._service_url = cluster.standin_by_id["s1"].url
 
     def prepare(self) -> None:
-        """Publish two entries; load the adapter under the names of both ways."""
+        """Publish the catalogue and load the adapter for both request paths."""
         name = f"{ADAPTER}-{WorkClass.INTERACTIVE.value}"
         adapter = {
             "kind": "adapter",
@@ -117,11 +117,11 @@
             headers={"Authorization": f"Bearer {ADMIN_TOKEN}", "X-Author": "bench"},
         )
         if status != 200:
-            raise ValueError(f"the catalogue was refused: {status} {answer}")
-        # The engine also knows the adapter by the entry's name, for the straight way.
+            raise ValueError(f"applying the catalogue failed: {status} {answer}")
+        # Direct requests use the entry's name, so load the adapter under it as well.
         order = {"lora_name": name, "lora_path": ADAPTER}
         call_json("POST", f"{self._engine_url}/v1/load_lora_adapter", order)
-        self._send_through("warm-up", evenly(10, 0.3, 2), 5.0)
+        self._send_through("warm-up", evenly_spaced(10, 0.3, 2), 5.0)
 
     def _send_through(
         self, label: str, arrivals: tuple[Arrival, ...], seconds: float
@@ -129,19 +129,23 @@
         return send(label, self.entry.callers_address, arrivals, seconds)
 
     def measure_first_token(self) -> None:
-        """Print the first-token wait both ways, by turns."""
-        arrivals = evenly(LATENCY_REQUESTS, LATENCY_PAUSE_S, 1)
+        """Print the first-token wait, direct and through the entry VM."""
+        arrivals = evenly_spaced(LATENCY_REQUESTS, LATENCY_PAUSE_S, 1)
         seconds = LATENCY_PAUSE_S * LATENCY_REQUESTS + 1.0
         engine = self._engine_url.removeprefix("http://")
         straight: list[float] = []
         through: list[float] = []
-        for turn in range(ROUNDS):
-            straight += _waits(send(f"straight{turn}", engine, arrivals, seconds))
-            through += _waits(self._send_through(f"through{turn}", arrivals, seconds))
-        _print_ways(f"first token, engine step {STEP_MS} ms", straight, through)
+        for round_number in range(ROUNDS):
+            straight += _waits(
+                send(f"straight{round_number}", engine, arrivals, seconds)
+            )
+            through += _waits(
+                self._send_through(f"through{round_number}", arrivals, seconds)
+            )
+        _print_comparison(f"first token, engine step {STEP_MS} ms", straight, through)
 
     def measure_calls(self) -> None:
-        """Print the time of plain calls both ways, by turns."""
+        """Print the duration of service calls, direct and through the entry VM."""
         through_url = f"http://{self.entry.callers_address}/services/orders/stock"
         straight: list[float] = []
         through: list[float] = []
@@ -149,15 +153,15 @@
             for _ in range(CALLS):
                 straight.append(_time_call(http, f"{self._service_url}/stock"))
                 through.append(_time_call(http, through_url))
-        _print_ways("plain call, service takes 0 ms", straight, through)
+        _print_comparison("plain call, service takes 0 ms", straight, through)
 
     def measure_cpu(self) -> Line:
-        """Print processor time by tokens of an answer, idle time taken off."""
+        """Print CPU time against answer length; the idle CPU time is subtracted."""
         idle_cores = self._idle_cores()
         print(f"idle entry VM: {100 * idle_cores:.2f} % of a core")
         points = []
         for tokens in TOKEN_COUNTS:
-            arrivals = evenly(CPU_REQUESTS, 1 / CPU_REQUESTS_PER_S, tokens)
+            arrivals = evenly_spaced(CPU_REQUESTS, 1 / CPU_REQUESTS_PER_S, tokens)
             seconds = CPU_REQUESTS / CPU_REQUESTS_PER_S + 4.0
             before = self._usage()
             self._send_through(f"cpu{tokens}", arrivals, seconds)
@@ -167,7 +171,7 @@
         return print_slope("processor time of a request", points, "token", "ms")
 
     def measure_streams(self) -> None:
-        """Print memory and threads by the number of open streams."""
+        """Print memory and thread count against the number of open streams."""
         memory, threads = [], []
         for count in STREAM_COUNTS:
             usage = self._usage_with_streams(count)
@@ -178,7 +182,7 @@
 
     def _usage_with_streams(self, count: int) -> Usage:
         tokens = int(2 * STREAM_S * 1000 / STEP_MS)
-        arrivals = evenly(count, 0.01, tokens)
+        arrivals = evenly_spaced(count, 0.01, tokens)
         sender = threading.Thread(
             target=self._send_through,
             args=(f"open{count}", arrivals, STREAM_S),
@@ -206,11 +210,11 @@
     started = time.perf_counter()
     status = http.request("GET", url, redirect=False).status
     if status != 200:
-        raise ValueError(f"{url} answered {status}")
+        raise ValueError(f"GET {url} returned status {status}")
     return time.perf_counter() - started
 
 
-def _print_ways(title: str, straight: list[float], through: list[float]) -> None:
+def _print_comparison(title: str, straight: list[float], through: list[float]) -> None:
     print(f"{title}: straight and through the entry VM, {len(straight)} each")
     for share in (0.5, 0.95):
         one = 1000 * percentile(straight, share)
@@ -223,7 +227,7 @@
 
 @contextmanager
 def running_cost_bench() -> Iterator[CostBench]:
-    """Run one entry VM with its endpoints."""
+    """Run one entry VM with its endpoints until the context exits."""
     with (
         tempfile.TemporaryDirectory() as directory,
         running_cluster(CONFIG, Path(directory)) as cluster,
--- a/bench/bench_deployment.py
+++ b/bench/bench_deployment.py
@@ -1,4 +1,4 @@
-"""One deployment of the bench: a profile's stand-ins and entry VMs with one policy."""
+"""Run the stand-ins and entry VMs of a profile under one policy."""
 
 import time
 from collections.abc import Iterator
@@ -13,22 +13,22 @@
 from bench.profiles import Profile
 from bench.slopes import Usage
 
-# A token comes half as often and answers are a quarter as long as in virtual time:
-# the same stream of work for a quarter of the processor time.
+# Slower steps and shorter answers than in virtual time reduce the CPU time of the
+# stand-ins, so that two deployments fit on one machine.
 STEP_FACTOR = 2
 TOKENS_DIVISOR = 4
 SERVICES_BY_PROFILE = {"lernwerk": 3, "galley": 4}
 ENTRIES_PER_EDIT = 500
 APPLY_TIMEOUT_S = 60.0
 IN_FORCE_TIMEOUT_S = 30.0
-CALM_TIMEOUT_S = 6.0
+IDLE_TIMEOUT_S = 6.0
 POLL_S = 0.2
-# A customer's share of the engines is the policy's to guard, not the entry's limits.
+# High limits, so that the policy alone decides each customer's share.
 LIMITS = {"concurrency": 10_000, "requests_per_s": 10_000.0, "max_tokens": 4096}
 
 
 def scaled(profile: Profile) -> Profile:
-    """Return the profile with answers and token times that fit one machine."""
+    """Return the profile with answer lengths and step times that fit one machine."""
     return replace(
         profile,
         step_s=profile.step_s * STEP_FACTOR,
@@ -40,7 +40,7 @@
 
 
 def cluster_config(profile: Profile, policy: str) -> ClusterConfig:
-    """Return what to start for a profile."""
+    """Return the cluster configuration of a profile."""
     return ClusterConfig(
         engines=profile.engines,
         services=SERVICES_BY_PROFILE[profile.name],
@@ -64,7 +64,7 @@
 
 
 def catalogue_entries(profile: Profile) -> list[dict[str, Any]]:
-    """Return a pool, a service, and each adapter once for each class of work."""
+    """Return a pool, a service, and each adapter once per work class."""
     entries: list[dict[str, Any]] = [
         {
             "kind": "pool",
@@ -100,7 +100,7 @@
 
 @dataclass
 class Deployment:
-    """A running cluster with one policy, and how far its histories were read."""
+    """A running cluster with one policy, and the read position in each history."""
 
     policy: str
     profile: Profile
@@ -114,7 +114,7 @@
         return tuple(entry.callers_address for entry in entries)
 
     def publish_catalogue(self) -> None:
-        """Set all entries and wait until they are in force everywhere."""
+        """Apply all entries and wait until they are in force on all entry VMs."""
         entries = catalogue_entries(self.profile)
         admin = self.cluster.live_entries()[0].admin_url
         revision = 0
@@ -130,11 +130,11 @@
                 timeout_s=APPLY_TIMEOUT_S,
             )
             if status != 200:
-                raise ValueError(f"the catalogue was refused: {status} {answer}")
+                raise ValueError(f"applying the catalogue failed: {status} {answer}")
             revision = answer["revision"]
-        self._await_revision(revision)
+        self._wait_for_revision(revision)
 
-    def _await_revision(self, revision: int) -> None:
+    def _wait_for_revision(self, revision: int) -> None:
         deadline = time.monotonic() + IN_FORCE_TIMEOUT_S
         while time.monotonic() < deadline:
             in_force = [
@@ -144,19 +144,19 @@
             if all(in_force):
                 return
             time.sleep(POLL_S)
-        raise ValueError(f"revision {revision} is not in force everywhere")
+        raise ValueError(f"revision {revision} is not in force on all entry VMs")
 
     def engine_url(self, engine_id: str) -> str:
-        """Return where an engine listens."""
+        """Return the base URL of an engine."""
         return self.cluster.standin_by_id[engine_id].url
 
     @property
     def engine_ids(self) -> list[str]:
-        """Return the names of the engines."""
+        """Return the ids of the engines."""
         return [f"g{number}" for number in range(1, self.profile.engines + 1)]
 
     def read_new_events(self) -> dict[str, list[dict[str, Any]]]:
-        """Return by engine what it recorded since the last reading."""
+        """Return the events recorded since the last call, by engine."""
         events_by_engine = {}
         for engine_id in self.engine_ids:
             start = self._next_by_engine.get(engine_id, 0)
@@ -169,20 +169,22 @@
         return events_by_engine
 
     def wait_until_idle(self) -> float:
-        """Wait until no engine runs anything; return the time it took."""
+        """Wait until all engines are idle, or a timeout; return the seconds waited."""
         started = time.monotonic()
-        while (waited := time.monotonic() - started) < CALM_TIMEOUT_S:
-            if not any(self._count_runs(engine_id) for engine_id in self.engine_ids):
+        while (waited := time.monotonic() - started) < IDLE_TIMEOUT_S:
+            if not any(
+                self._count_requests(engine_id) for engine_id in self.engine_ids
+            ):
                 break
             time.sleep(POLL_S)
         return waited
 
-    def _count_runs(self, engine_id: str) -> int:
+    def _count_requests(self, engine_id: str) -> int:
         _, state = call_json("GET", f"{self.engine_url(engine_id)}/state")
         return len(state["running"]) + int(state["waiting"])
 
     def entry_cpu_s(self) -> float:
-        """Return the processor time that the entry VMs have used."""
+        """Return the CPU time used by the entry VMs, in seconds."""
         entries = self.cluster.live_entries()
         return sum(Usage.of_process(e.process.popen.pid).cpu_s for e in entries)
 
@@ -193,7 +195,7 @@
     policy: str,
     directory: Path,
 ) -> Iterator[Deployment]:
-    """Run a deployment with its catalogue in force."""
+    """Run a deployment and publish its catalogue."""
     directory.mkdir()
     with running_cluster(cluster_config(profile, policy), directory) as cluster:
         deployment = Deployment(policy, profile, cluster)
--- a/bench/bench_figures.py
+++ b/bench/bench_figures.py
@@ -1,4 +1,4 @@
-"""Figures of a run, from what callers received and what the engines recorded."""
+"""Compute figures of a run from callers' results and engines' histories."""
 
 import math
 from collections import Counter
@@ -24,7 +24,7 @@
 
 @dataclass
 class Observation:
-    """What was seen of one scenario with one policy."""
+    """The results of one scenario with one policy."""
 
     received: list[Received]
     events_by_engine: Mapping[str, Sequence[Mapping[str, Any]]]
@@ -40,7 +40,7 @@
         )
 
     def figures(self, profile: Profile, idle_wait_s: float) -> dict[str, float]:
-        """Return the figures by name; arrivals of the settling time do not count."""
+        """Return the figures by name, without arrivals of the settling time."""
         result = Result(
             records=[to_record(item, idle_wait_s) for item in self.received],
             fill=self.fill(profile, idle_wait_s),
@@ -62,7 +62,7 @@
         return figures
 
     def count(self, event: str) -> int:
-        """Return how often the engines recorded an event."""
+        """Return the number of events of a type in all engine histories."""
         return sum(
             recorded["event"] == event
             for events in self.events_by_engine.values()
@@ -70,7 +70,7 @@
         )
 
     def fill(self, profile: Profile, idle_wait_s: float) -> Fill:
-        """Return the places used while some request waited longer than when idle."""
+        """Return the usage of places while any request waited over ``idle_wait_s``."""
         steps = int(self.seconds / GRID_S) + 1
         waiting = _levels(
             [
@@ -106,7 +106,7 @@
 
 
 def _levels(changes: Iterable[tuple[float, int]], steps: int) -> list[int]:
-    """Return the level at each grid point."""
+    """Return the running sum of the changes at each grid point."""
     change_by_step: Counter[int] = Counter()
     for at, change in changes:
         change_by_step[max(0, int(at / GRID_S) + 1)] += change
@@ -118,7 +118,7 @@
 
 
 def to_record(item: Received, idle_wait_s: float) -> Record:
-    """Return a caller's result as the measures take it."""
+    """Convert the result of an arrival to a record of :mod:`bench.measures`."""
     return Record(
         customer=item.arrival.customer,
         work_class=item.arrival.work_class,
@@ -136,7 +136,7 @@
     hot_customer: str,
     settle_s: float,
 ) -> float:
-    """Return the p95 wait of all served requests but a hot customer's, in seconds."""
+    """Return the p95 wait of requests not refused, without a hot customer's."""
     return percentile(
         (
             item.wait_s
@@ -150,7 +150,7 @@
 
 
 def interactive_wait_p95(received: Iterable[Received], settle_s: float) -> float:
-    """Return the p95 wait of interactive requests; a refused one waits for ever."""
+    """Return the p95 wait of interactive requests; refused ones count as infinite."""
     return percentile(
         (
             math.inf if item.ending is Ending.REFUSED else item.wait_s
--- a/bench/bench_table.py
+++ b/bench/bench_table.py
@@ -1,4 +1,4 @@
-"""Prints the bench's one table, the refusals by code and the targets."""
+"""Print the table of figures, the error codes and the targets of a run."""
 
 from collections.abc import Mapping
 
@@ -36,7 +36,7 @@
 
 
 def print_totals(figures: Mapping[str, FiguresByPolicy]) -> None:
-    """Print one line for each scenario and figure, with the ratio."""
+    """Print the figures of both policies and their ratio, one per line."""
     print(f"{'scenario':16} {'figure':26} {'chosen':>9} {'baseline':>9} {'ratio':>7}")
     for scenario, by_policy in figures.items():
         for column in COLUMNS:
@@ -47,7 +47,7 @@
 
 
 def print_codes(observed: Mapping[str, Mapping[str, Observation]]) -> None:
-    """Print how requests ended other than well, by code."""
+    """Print the number of failed requests by ending and error code."""
     print("endings other than whole answers, with the settling time:")
     for scenario, by_policy in observed.items():
         for policy, observation in by_policy.items():
@@ -64,7 +64,7 @@
     figures: Mapping[str, FiguresByPolicy],
     hot_waits: Mapping[str, float],
 ) -> None:
-    """Print each target that this run can judge, with its ratio."""
+    """Print each target for which this run has the scenarios, with its ratio."""
     if profile == "lernwerk" and "0.9x" in figures:
         ratio = _ratio(figures["0.9x"], "all stall p95")
         _print_target("p95 load stall at 0.9x", ratio, ratio <= MAX_STALL_RATIO, "0.33")
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -1,4 +1,4 @@
-"""The bench's own figures: what callers received, and places used while work waited."""
+"""Tests of the policy bench: its figures, profiles and load generator."""
 
 import time
 from collections.abc import Iterator
@@ -43,10 +43,10 @@
 
 
 class TestFigures:
-    """Figures from callers' results and engines' records."""
+    """Figures computed from callers' results and engines' histories."""
 
     def test_places_count_only_while_work_waits(self) -> None:
-        # One run takes a place from second 1 to 9; a request waits from 5 to 7.
+        # One run occupies a place from second 1 to 9; a request waits from 5 to 7.
         events: list[dict[str, object]] = [
             {"time": 101.0, "event": "run_start"},
             {"time": 109.0, "event": "run_end"},
@@ -56,13 +56,13 @@
         assert fill.offered == pytest.approx(2.0 * places, rel=0.05)
         assert fill.share == pytest.approx(1 / places)
 
-    def test_a_wait_as_on_an_idle_engine_is_no_stall(self) -> None:
+    def test_a_wait_within_the_idle_wait_is_no_stall(self) -> None:
         items = [received(1.0, 1.2), received(2.0, 3.25)]
         figures = observe(items, []).figures(LERNWERK, IDLE_S)
         assert figures["interactive stalled share"] == 0.5
         assert figures["interactive stall p99"] == pytest.approx(1.0)
 
-    def test_a_refusal_is_no_goodput(self) -> None:
+    def test_a_refusal_does_not_count_as_goodput(self) -> None:
         refused = Received(
             arrival(1.0), ended_at=9.0, ending=Ending.REFUSED, code="overloaded"
         )
@@ -77,10 +77,10 @@
 
 
 class TestProfiles:
-    """What a deployment is started with."""
+    """Scaled profiles and fault schedules."""
 
     @pytest.mark.parametrize("profile", [LERNWERK, GALLEY])
-    def test_a_scaled_profile_keeps_the_briefs_sizes(self, profile) -> None:
+    def test_a_scaled_profile_keeps_its_sizes(self, profile) -> None:
         small = scaled(profile)
         assert (small.engines, small.adapters) == (profile.engines, 3000)
         assert small.loads_per_s == profile.loads_per_s
@@ -104,15 +104,15 @@
 
 
 class TestCallers:
-    """The open loop."""
+    """The open-loop load generator."""
 
-    def test_a_request_that_nobody_could_serve_ends_the_bench(self) -> None:
-        # Ids with a space were refused, and looked like refusals under load.
+    def test_an_invalid_request_of_the_bench_raises(self) -> None:
+        # Otherwise invalid requests would count as refusals under load.
         refused = Received(arrival(1.0), ending=Ending.REFUSED, code="bad_request")
-        with pytest.raises(ValueError, match="a fault of the bench"):
+        with pytest.raises(ValueError, match="invalid request sent by the bench"):
             check_codes([refused])
 
-    def test_requests_leave_on_time_whatever_became_of_earlier_ones(
+    def test_requests_are_sent_on_time_after_earlier_ones_were_refused(
         self, engine_address: str
     ) -> None:
         order = TraceOrder(
