--- a/bench/bench_figures.py
+++ b/bench/bench_figures.py
@@ -8,17 +8,17 @@
 
 from bamboovale.models import WorkClass
 from bench.bench_callers import Ending, Received
-from bench.measures import Fate, Fill, Record, Result, percentile, summarize
+from bench.measures import Outcome, Fill, Record, Result, percentile, summarize
 from bench.profiles import Profile
 
 GRID_S = 0.05
-FATE_BY_ENDING = {
-    Ending.WHOLE: Fate.SERVED,
-    Ending.FLOWING: Fate.SERVED,
-    Ending.REFUSED: Fate.REFUSED,
-    Ending.GAVE_UP: Fate.GAVE_UP,
-    Ending.BROKEN: Fate.BROKEN,
-    Ending.WAITING: Fate.OPEN,
+OUTCOME_BY_ENDING = {
+    Ending.WHOLE: Outcome.SERVED,
+    Ending.FLOWING: Outcome.SERVED,
+    Ending.REFUSED: Outcome.REFUSED,
+    Ending.GAVE_UP: Outcome.GAVE_UP,
+    Ending.BROKEN: Outcome.BROKEN,
+    Ending.WAITING: Outcome.OPEN,
 }
 
 
@@ -126,7 +126,7 @@
         max_wait_s=item.arrival.max_wait_s,
         wait_s=item.wait_s,
         stall_s=max(0.0, item.wait_s - idle_wait_s),
-        fate=FATE_BY_ENDING[item.ending],
+        outcome=OUTCOME_BY_ENDING[item.ending],
         ended_at=item.ended_at,
     )
 
--- a/bench/measures.py
+++ b/bench/measures.py
@@ -7,7 +7,7 @@
 from bamboovale.models import WorkClass
 
 
-class Fate(StrEnum):
+class Outcome(StrEnum):
     """How a request ended for its caller."""
 
     SERVED = "served"
@@ -27,7 +27,7 @@
     max_wait_s: float
     wait_s: float = 0.0
     stall_s: float = 0.0
-    fate: Fate = Fate.OPEN
+    outcome: Outcome = Outcome.OPEN
     ended_at: float = 0.0
 
 
@@ -79,8 +79,8 @@
         1e-9,
         result.seconds - settle_s,
     )
-    for fate in (Fate.REFUSED, Fate.GAVE_UP, Fate.BROKEN):
-        figures[f"{fate} share"] = _share(records, fate)
+    for outcome in (Outcome.REFUSED, Outcome.GAVE_UP, Outcome.BROKEN):
+        figures[f"{outcome} share"] = _share(records, outcome)
     for work_class in WorkClass:
         chosen = [r for r in records if r.work_class is work_class]
         figures |= _waits(chosen, work_class.value)
@@ -92,16 +92,16 @@
 
 
 def _is_good(record: Record) -> bool:
-    return record.fate is Fate.SERVED and record.wait_s <= record.max_wait_s
+    return record.outcome is Outcome.SERVED and record.wait_s <= record.max_wait_s
 
 
-def _share(records: Sequence[Record], fate: Fate) -> float:
-    return sum(r.fate is fate for r in records) / max(1, len(records))
+def _share(records: Sequence[Record], outcome: Outcome) -> float:
+    return sum(r.outcome is outcome for r in records) / max(1, len(records))
 
 
 def _waits(records: Sequence[Record], label: str) -> dict[str, float]:
     stalls = [r.stall_s for r in records]
-    waits = [r.wait_s for r in records if r.fate is not Fate.REFUSED]
+    waits = [r.wait_s for r in records if r.outcome is not Outcome.REFUSED]
     stalled = sum(stall > 0.0 for stall in stalls) / max(1, len(stalls))
     return {
         f"{label} stalled share": stalled,
--- a/bench/virtual_time.py
+++ b/bench/virtual_time.py
@@ -34,7 +34,7 @@
     WorkItem,
 )
 from bamboovale.models import AdapterVersion
-from bench.measures import Fate, Record, Result
+from bench.measures import Outcome, Record, Result
 from bench.profiles import Arrival, Profile, Scenario, arrivals
 
 HINT_EVERY_S = 0.5
@@ -304,7 +304,7 @@
     def _repeat_broken(self, request_id: str) -> None:
         job = self._job_by_id.get(request_id)
         if job is not None:
-            job.record.fate = Fate.OPEN
+            job.record.outcome = Outcome.OPEN
             job.tried.clear()
             self.loop.after(self._hop, lambda: self._ask_engine(job))
 
@@ -354,7 +354,7 @@
             job.tried,
         )
         if engine_id is None:
-            self._settle(job, Fate.REFUSED)
+            self._settle(job, Outcome.REFUSED)
             return
         job.tried.append(engine_id)
         placement.on_sent(engine_id, job.item.target.lora_name)
@@ -368,7 +368,7 @@
         self._carry_out(engine, engine.dispatch.on_request(job.item, self.loop.now))
 
     def _give_up(self, job: Job) -> None:
-        if job.record.fate is not Fate.OPEN:
+        if job.record.outcome is not Outcome.OPEN:
             return
         for engine in self.engine_by_id.values():
             if engine.site.engine_id in job.tried[-1:]:
@@ -377,17 +377,17 @@
                 actions = engine.dispatch.on_cancel(job.item.request_id, self.loop.now)
                 self._carry_out(engine, actions)
         self._note_stall(self.engine_by_id[job.tried[-1]], job)
-        self._settle(job, Fate.GAVE_UP)
+        self._settle(job, Outcome.GAVE_UP)
 
-    def _settle(self, job: Job, fate: Fate) -> None:
-        job.record.fate = fate
+    def _settle(self, job: Job, outcome: Outcome) -> None:
+        job.record.outcome = outcome
         job.record.ended_at = self.loop.now
-        if fate is not Fate.SERVED:
+        if outcome is not Outcome.SERVED:
             job.record.wait_s = self.loop.now - job.item.arrived_at
             self._job_by_id.pop(job.item.request_id, None)
 
     def _end_open(self, job: Job) -> None:
-        if job.record.fate is Fate.OPEN:
+        if job.record.outcome is Outcome.OPEN:
             job.record.wait_s = self.loop.now - job.item.arrived_at
 
     # The lease holder's loop.
@@ -440,7 +440,7 @@
         job = self._job_by_id[permit.request_id]
         self._note_stall(engine, job)
         job.record.wait_s = self.loop.now - job.item.arrived_at
-        self._settle(job, Fate.SERVED)
+        self._settle(job, Outcome.SERVED)
         engine.running[permit.permit_id] = permit
         step_s = self.profile.step_s * engine.slow_factor
         seconds = job.item.max_tokens * step_s + 4 * self._hop
@@ -468,7 +468,7 @@
         self._note_stall(engine, job)
         late = self.loop.now >= job.item.latest_start
         if late or len(job.tried) >= TRIES:
-            self._settle(job, Fate.REFUSED)
+            self._settle(job, Outcome.REFUSED)
         else:
             self.loop.after(self._hop, lambda: self._ask_engine(job))
 
--- a/tests/test_bench.py
+++ b/tests/test_bench.py
@@ -12,7 +12,7 @@
 from bench.bench_deployment import catalogue_entries, scaled
 from bench.bench_figures import Observation, others_wait_p95
 from bench.cluster import ClusterConfig, running_cluster
-from bench.measures import Fate
+from bench.measures import Outcome
 from bench.profiles import GALLEY, LERNWERK, Arrival
 
 IDLE_S = 0.25
@@ -68,7 +68,7 @@
         )
         figures = observe([refused], []).figures(LERNWERK, IDLE_S)
         assert figures["goodput_per_s"] == 0.0
-        assert figures[f"{Fate.REFUSED} share"] == 1.0
+        assert figures[f"{Outcome.REFUSED} share"] == 1.0
         assert figures["refusal wait p95"] == pytest.approx(8.0)
 
     def test_the_hot_customer_does_not_count_among_the_others(self) -> None:
--- a/tests/test_decisions_load_patterns.py
+++ b/tests/test_decisions_load_patterns.py
@@ -4,7 +4,7 @@
 
 from bamboovale.decisions.policy import Policy
 from bamboovale.models import WorkClass
-from bench.measures import Fate, Record, Result, percentile, summarize
+from bench.measures import Outcome, Record, Result, percentile, summarize
 from bench.profiles import LERNWERK, Arrival, ClassLoad, Profile, Scenario, arrivals
 from bench.virtual_time import VirtualCluster, run_scenario
 
@@ -40,11 +40,11 @@
 
 
 def served_share(records: list[Record]) -> float:
-    return sum(r.fate is Fate.SERVED for r in records) / max(1, len(records))
+    return sum(r.outcome is Outcome.SERVED for r in records) / max(1, len(records))
 
 
 def p95_wait(records: list[Record]) -> float:
-    return percentile([r.wait_s for r in records if r.fate is Fate.SERVED], 0.95)
+    return percentile([r.wait_s for r in records if r.outcome is Outcome.SERVED], 0.95)
 
 
 class TestBurst:
@@ -69,7 +69,7 @@
         assert served_share(others) == 1.0
         assert p95_wait(others) < 3.0
         assert served_share(bursting) > 0.5
-        assert all(r.wait_s <= 5.0 for r in bursting if r.fate is Fate.SERVED)
+        assert all(r.wait_s <= 5.0 for r in bursting if r.outcome is Outcome.SERVED)
 
 
 class TestHotCaller:
@@ -147,7 +147,7 @@
             scenario = Scenario("overload", load, seconds=120.0)
             result = run_scenario(SMALL, scenario, CHOSEN)
             goodput[load] = summarize(result, settle_s=20.0)["goodput_per_s"]
-            refused = [r for r in result.records if r.fate is Fate.REFUSED]
+            refused = [r for r in result.records if r.outcome is Outcome.REFUSED]
         assert goodput[3.0] >= 0.95 * goodput[1.0]
         assert percentile([r.ended_at - r.arrived_at for r in refused], 0.5) < 0.1
 
@@ -187,8 +187,10 @@
         scenario = Scenario("down", 0.6, seconds=90.0, store_down_at=40.0)
         result = run_scenario(SMALL, scenario, CHOSEN)
         during = between(result, 42.0, 58.0)
-        served = [r.wait_s for r in during if r.fate is Fate.SERVED]
-        refused = [r.ended_at - r.arrived_at for r in during if r.fate is Fate.REFUSED]
+        served = [r.wait_s for r in during if r.outcome is Outcome.SERVED]
+        refused = [
+            r.ended_at - r.arrived_at for r in during if r.outcome is Outcome.REFUSED
+        ]
         assert len(served) > 0.6 * len(during)
         assert percentile(served, 0.8) < 0.05
         assert percentile(refused, 0.5) < 5.0
