--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -45,8 +45,8 @@
     """A line fitted by least squares, with its greatest error at a point."""
 
     slope: float
-    start: float
-    greatest_error: float
+    intercept: float
+    max_error: float
 
     @classmethod
     def through(cls, points: Sequence[tuple[float, float]]) -> "Line":
@@ -55,9 +55,9 @@
         mean_y = sum(y for _, y in points) / len(points)
         spread = sum((x - mean_x) ** 2 for x, _ in points)
         slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
-        start = mean_y - slope * mean_x
-        errors = [abs(y - start - slope * x) for x, y in points]
-        return cls(slope, start, max(errors))
+        intercept = mean_y - slope * mean_x
+        errors = [abs(y - intercept - slope * x) for x, y in points]
+        return cls(slope, intercept, max(errors))
 
 
 def print_slope(
@@ -69,6 +69,6 @@
     """Print the readings and the line through them; return the line."""
     line = Line.through(points)
     readings = ", ".join(f"{x:g}: {y:.4g}" for x, y in points)
-    print(f"{title}: {line.slope:.4g} {unit} per {per}, from {line.start:.4g} {unit}")
-    print(f"    readings {{{readings}}}, greatest error {line.greatest_error:.2g}")
+    print(f"{title}: {line.slope:.4g} {unit} per {per}, from {line.intercept:.4g} {unit}")
+    print(f"    readings {{{readings}}}, greatest error {line.max_error:.2g}")
     return line
--- a/tests/test_capacity_bench.py
+++ b/tests/test_capacity_bench.py
@@ -16,13 +16,13 @@
     def test_a_straight_line_is_found(self) -> None:
         line = Line.through([(1, 5.0), (2, 7.0), (4, 11.0)])
         assert line.slope == pytest.approx(2)
-        assert line.start == pytest.approx(3)
-        assert line.greatest_error == pytest.approx(0, abs=1e-9)
+        assert line.intercept == pytest.approx(3)
+        assert line.max_error == pytest.approx(0, abs=1e-9)
 
-    def test_the_greatest_error_is_that_of_the_worst_reading(self) -> None:
+    def test_the_max_error_is_that_of_the_worst_reading(self) -> None:
         line = Line.through([(0, 0.0), (1, 3.0), (2, 0.0)])
         assert line.slope == pytest.approx(0)
-        assert line.greatest_error == pytest.approx(2)
+        assert line.max_error == pytest.approx(2)
 
 
 class TestUsage:
