--- a/bench/bench_figures.py
+++ b/bench/bench_figures.py
@@ -8,7 +8,7 @@
 
 from bamboovale.models import WorkClass
 from bench.bench_callers import Ending, Received
-from bench.measures import Outcome, Fill, Record, Result, percentile, summarize
+from bench.measures import Fill, Outcome, Record, Result, percentile, summarize
 from bench.profiles import Profile
 
 GRID_S = 0.05
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,7 +1,7 @@
-"""Slopes behind docs/CAPACITY.md: what control costs against each size.
+"""Measure the control-plane cost of an entry VM against the size of the deployment.
 
-``make capacity`` runs all of it in under ten minutes. All processes are separate and
-on one machine, so that processor time includes what the machine's load adds to it.
+Run with ``make capacity``; ``docs/CAPACITY.md`` holds the results. All processes run
+on one machine, so CPU time includes the effect of other load on it.
 """
 
 import contextlib
@@ -34,12 +34,12 @@
 STREAMS = (0, 12, 24, 36, 48)
 REQUESTS_PER_S = (0, 1, 2, 4, 8)
 
-# One apply names no more entries than this; the administration API bounds its body.
+# Keeps one apply within the body size limit of the administration API.
 ADAPTERS_PER_EDIT = 1000
 
-HANG_UP_S = 2.0
+DISCONNECT_S = 2.0
 
-# A weight store quick enough that loads wait for nothing but control.
+# A weight store fast enough that only the control plane delays loads.
 QUICK_WEIGHTS = ("--loads-per-s", "100", "--full-speed", "16", "--load-seconds", "0.02")
 QUICK_WEIGHTS_ENTRY = ("--weight-loads-per-s=100", "--weight-full-speed=16")
 
@@ -48,7 +48,7 @@
 
 def main() -> None:
     """Measure all slopes and print them."""
-    began = time.monotonic()
+    started = time.monotonic()
     print(f"{os.cpu_count()} cores, load average {os.getloadavg()[0]:.1f} at the start")
     steps: list[Callable[[], Any]] = [
         measure_links,
@@ -60,13 +60,15 @@
         by_streams,
     ]
     for step in steps:
-        print(f"\n## {step.__name__} (after {time.monotonic() - began:.0f} s)")
+        print(f"\n## {step.__name__} (after {time.monotonic() - started:.0f} s)")
         step()
-    print(f"\nload average {os.getloadavg()[0]:.1f}, {time.monotonic() - began:.0f} s")
+    print(
+        f"\nload average {os.getloadavg()[0]:.1f}, {time.monotonic() - started:.0f} s"
+    )
 
 
 def by_entry_vms() -> None:
-    """Idle entry VMs before 36 engines and 100 adapters: each holds a lease or more."""
+    """Measure idle entry VMs that all hold leases, by their number."""
     points: Points = []
     with measured_cluster(entries=ENTRY_COUNTS[0], engines=36) as measured:
         measured.publish(0, 100)
@@ -77,7 +79,7 @@
 
 
 def by_engines() -> None:
-    """Six idle entry VMs before more and more engines."""
+    """Measure idle entry VMs by the number of engines."""
     points: Points = []
     for count in ENGINE_COUNTS:
         with measured_cluster(entries=6, engines=count) as measured:
@@ -87,31 +89,31 @@
 
 
 def by_adapters() -> None:
-    """Three idle entry VMs with a growing catalogue."""
+    """Measure idle entry VMs by the number of adapters in the catalogue."""
     points: Points = []
-    fresh: list[tuple[float, float]] = []
+    start_kib: list[tuple[float, float]] = []
     start_bytes: list[tuple[float, float]] = []
     published = 0
     with measured_cluster(entries=3, engines=2) as measured:
         for number, count in enumerate(ADAPTER_COUNTS):
-            began = time.monotonic()
+            started = time.monotonic()
             for first in range(published, count, ADAPTERS_PER_EDIT):
                 measured.publish(first, min(count, first + ADAPTERS_PER_EDIT))
-            took_s = time.monotonic() - began
+            took_s = time.monotonic() - started
             print(f"{count - published} more adapters in force after {took_s:.1f} s")
             published = count
             points.append((count, _read(measured, f"{count} adapters")))
             start = measured.start_one_more(4 + number)
             print(f"a new entry VM serves after {start.ready_s:.1f} s")
-            fresh.append((count, start.resident_kib))
+            start_kib.append((count, start.resident_kib))
             start_bytes.append((count, start.log_bytes / KIB))
     _print_slopes(points, "adapter")
-    print_slope("memory of a VM that started with them", fresh, "adapter", "KiB")
+    print_slope("memory of a VM that started with them", start_kib, "adapter", "KiB")
     print_slope("log bytes that its start read", start_bytes, "adapter", "KiB")
 
 
 def by_changes() -> None:
-    """Three entry VMs while an operator changes adapters at a rate."""
+    """Measure entry VMs by the rate at which an operator changes adapters."""
     points: Points = []
     delays: list[float] = []
     with measured_cluster(entries=3, engines=2) as measured:
@@ -121,7 +123,7 @@
 
         def change() -> None:
             number = next(versions)
-            began = time.monotonic()
+            started = time.monotonic()
             entry = adapter_entry(number % 3000, str(number))
             path = f"/admin/v1/entries/adapter/{entry['name']}"
             vm = measured.cluster.live_entries()[0]
@@ -130,7 +132,7 @@
             if status not in (200, 201):
                 raise ValueError(f"PUT {path}: {status} {answer}")
             measured.wait_in_force(answer["revision"])
-            delays.append(time.monotonic() - began)
+            delays.append(time.monotonic() - started)
 
         for rate in CHANGES_PER_S:
             with repeating(change, rate):
@@ -144,7 +146,7 @@
 
 
 def by_placement_changes() -> None:
-    """Send requests to one loaded adapter, then each to one that is not loaded."""
+    """Measure requests to a loaded adapter, then requests that each need a load."""
     for title, adapters in (("one loaded adapter", 1), ("adapters in turn", 400)):
         points: Points = []
         with measured_cluster(
@@ -154,16 +156,16 @@
             weights_options=QUICK_WEIGHTS,
         ) as measured:
             measured.publish(0, adapters)
-            asker = Asker(measured, adapters)
+            sender = RequestSender(measured, adapters)
             for rate in REQUESTS_PER_S:
-                with repeating(asker.ask, rate):
+                with repeating(sender.send, rate):
                     points.append((rate, _read(measured, f"{title}, {rate}/s")))
-            print(f"answers by status: {dict(asker.answers)}")
+            print(f"answers by status: {dict(sender.answers)}")
         _print_slopes(points, f"request a second to {title}")
 
 
 def by_streams() -> None:
-    """Pass on streams of 20 tokens a second each through one entry VM."""
+    """Measure one entry VM by the number of streams that it forwards."""
     points: Points = []
     with measured_cluster(
         entries=1,
@@ -179,7 +181,7 @@
 
 @contextlib.contextmanager
 def streaming(measured: MeasuredCluster, count: int) -> Iterator[None]:
-    """Hold so many streams open meanwhile; then hang up."""
+    """Hold ``count`` streams open, then disconnect them."""
     (entry,) = measured.cluster.live_entries()
     host, _, port = entry.callers_address.partition(":")
     body = {
@@ -202,7 +204,7 @@
         for connection in connections:
             if connection.sock is not None:
                 connection.sock.shutdown(socket.SHUT_RDWR)
-    time.sleep(HANG_UP_S)  # until the entry VM has freed their places
+    time.sleep(DISCONNECT_S)  # until the entry VM has released their places
 
 
 def _read_all(connection: HTTPConnection, statuses: list[int]) -> None:
@@ -212,8 +214,8 @@
         response.read()
 
 
-class Asker:
-    """Asks for one token, entry VMs and adapters each in turn."""
+class RequestSender:
+    """Sends one-token requests, round-robin over entry VMs and adapters."""
 
     def __init__(self, measured: MeasuredCluster, adapters: int) -> None:
         self.answers: Counter[int] = Counter()
@@ -221,7 +223,7 @@
         self._entries = measured.cluster.live_entries()
         self._numbers = itertools.count()
 
-    def ask(self) -> None:
+    def send(self) -> None:
         """Send one request and count its status."""
         number = next(self._numbers)
         vm = self._entries[number % len(self._entries)]
@@ -237,7 +239,7 @@
 
 @contextlib.contextmanager
 def repeating(action: Callable[[], None], rate_per_s: float) -> Iterator[None]:
-    """Call a function at a steady rate from a few threads meanwhile."""
+    """Call a function at a steady rate from a thread pool."""
     stop = threading.Event()
     with ThreadPoolExecutor(16) as pool:
 
@@ -264,7 +266,7 @@
 
 
 def _print_slopes(points: Sequence[tuple[float, Reading]], per: str) -> None:
-    """Print the slope of each cost of one entry VM."""
+    """Print the slope of each resource that an entry VM uses."""
     columns: list[tuple[str, Callable[[Reading], float], str]] = [
         ("processor", lambda reading: reading.cpu_percent, "% of a core"),
         ("memory", lambda reading: reading.resident_kib, "KiB"),
--- a/bench/capacity_entries.py
+++ b/bench/capacity_entries.py
@@ -1,7 +1,7 @@
-"""What entry VMs cost without load, against the size of the deployment.
+"""Run a cluster of entry VMs and measure their CPU, memory and control traffic.
 
-All processes are separate; the log service, the VM list and the engines stand behind
-relays that count the bytes of control traffic.
+Each member is a process of its own. Relays in front of the log service, the VM list
+and the engines count the bytes of control traffic.
 """
 
 import contextlib
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Reading:
-    """Means over the entry VMs of a cluster; bytes a second, read and written."""
+    """Means over the entry VMs; traffic in bytes per second, read plus written."""
 
     cpu_percent: float
     resident_kib: float
@@ -45,7 +45,7 @@
 
     @property
     def all_bytes(self) -> float:
-        """Return all control bytes of one entry VM, a second."""
+        """Return the control traffic of one entry VM in bytes per second."""
         return self.log_bytes + self.vms_bytes + self.engine_bytes + self.peer_bytes
 
     def __str__(self) -> str:
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class Start:
-    """What the start of one entry VM took; the others' log traffic is included."""
+    """Costs of starting one entry VM; ``log_bytes`` includes the other VMs' traffic."""
 
     ready_s: float
     resident_kib: float
@@ -75,7 +75,7 @@
     relay_by_id: dict[str, CountingRelay]
 
     def read(self, seconds: float = READING_S) -> Reading:
-        """Let the cluster settle, then measure."""
+        """Let the cluster settle, then measure for some seconds."""
         time.sleep(SETTLE_S)
         entries = self.cluster.live_entries()
         before = self._totals(entries)
@@ -97,7 +97,7 @@
         )
 
     def add_entries(self, count: int) -> None:
-        """Start entry VMs until there are so many."""
+        """Start entry VMs until the cluster has ``count`` of them."""
         started = [
             self.cluster.start_entry(f"e{number}")
             for number in range(len(self.cluster.entry_by_id) + 1, count + 1)
@@ -106,12 +106,12 @@
             self.cluster.wait_until_ready(entry)
 
     def start_one_more(self, number: int) -> "Start":
-        """Start an entry VM and say what its start took, then stop it again."""
+        """Start an entry VM, measure its start and kill it."""
         log_bytes = self.relay_by_id["log"].bytes
-        began = time.monotonic()
+        started_at = time.monotonic()
         entry = self.cluster.start_entry(f"e{number}")
         self.cluster.wait_until_ready(entry)
-        ready_s = time.monotonic() - began
+        ready_s = time.monotonic() - started_at
         log_bytes = self.relay_by_id["log"].bytes - log_bytes
         time.sleep(SETTLE_S)
         usage = Usage.of_process(entry.process.popen.pid)
@@ -119,8 +119,8 @@
         return Start(ready_s, usage.resident_bytes / KIB, log_bytes)
 
     def publish(self, first: int, last: int) -> float:
-        """Publish adapters of these numbers; return seconds until in force."""
-        began = time.monotonic()
+        """Publish adapters ``first`` to ``last - 1``; return seconds until in force."""
+        started_at = time.monotonic()
         edit = {"entries": [pool_entry(), *map(adapter_entry, range(first, last))]}
         entry = self.cluster.live_entries()[0]
         status, answer = entry.ask_admin(
@@ -130,20 +130,20 @@
             headers={"X-Author": "bench"},
         )
         if status != 200:
-            raise ValueError(f"apply: {status} {answer}")
+            raise ValueError(f"applying the catalogue failed: {status} {answer}")
         self.wait_in_force(answer["revision"])
-        return time.monotonic() - began
+        return time.monotonic() - started_at
 
     def wait_in_force(self, revision: int) -> None:
-        """Wait until every entry VM has a catalogue revision."""
+        """Wait until a catalogue revision is in force on every entry VM."""
         entry = self.cluster.live_entries()[0]
         path = f"/admin/v1/in-force?revision={revision}&timeout_s=8"
-        give_up_at = time.monotonic() + IN_FORCE_TIMEOUT_S
-        while time.monotonic() < give_up_at:
+        deadline = time.monotonic() + IN_FORCE_TIMEOUT_S
+        while time.monotonic() < deadline:
             _, answer = entry.ask_admin("GET", path)
             if answer and answer.get("in_force"):
                 return
-        raise TimeoutError(f"revision {revision} is not in force: {answer}")
+        raise TimeoutError(f"revision {revision} not in force in time: {answer}")
 
     def _totals(self, entries: Sequence[EntryVM]) -> "_Totals":
         metrics = [_read_metrics(entry) for entry in entries]
@@ -157,17 +157,18 @@
             log=self.relay_by_id["log"].bytes,
             vms=self.relay_by_id["vms"].bytes,
             engines=sum(engines),
-            peers=sum(_sum_of(text, PEER_BYTES) for text in metrics),
-            messages=sum(_sum_of(text, PEER_MESSAGES) for text in metrics),
+            peers=sum(_sum_counters(text, PEER_BYTES) for text in metrics),
+            messages=sum(_sum_counters(text, PEER_MESSAGES) for text in metrics),
             appends=sum(
-                _sum_of(text, ("bamboovale_log_appends_total",)) for text in metrics
+                _sum_counters(text, ("bamboovale_log_appends_total",))
+                for text in metrics
             ),
         )
 
 
 @dataclass(frozen=True)
 class _Totals:
-    """Counters of all entry VMs at one moment."""
+    """Counters of all entry VMs at one time."""
 
     usages: list[Usage]
     log: float
@@ -184,7 +185,7 @@
     engines: int,
     **options: Any,
 ) -> Iterator[MeasuredCluster]:
-    """Run a cluster with relays before the log, the VM list and the engines."""
+    """Run a cluster with relays in front of the log, VM list and engines."""
     config = ClusterConfig(engines=engines, services=1, entries=entries, **options)
     with (
         tempfile.TemporaryDirectory() as directory,
@@ -207,12 +208,12 @@
 
 
 def pool_entry() -> dict[str, Any]:
-    """Return the catalogue entry of the bench's pool of engines."""
+    """Return the catalogue entry of the engine pool."""
     return {"kind": "pool", "name": ENGINE_POOL, "base_model": BASE_MODEL}
 
 
 def adapter_entry(number: int, version: str = "1") -> dict[str, Any]:
-    """Return an adapter's catalogue entry, as long as a real one."""
+    """Return a catalogue entry of realistic size for an adapter."""
     return {
         "kind": "adapter",
         "name": f"summaries-{number:05}",
@@ -234,8 +235,8 @@
         return answer.data.decode()
 
 
-def _sum_of(text: str, names: Sequence[str]) -> float:
-    """Return the sum of counters, over all their labels."""
+def _sum_counters(text: str, names: Sequence[str]) -> float:
+    """Return the sum of the named counters over all label values."""
     return sum(
         float(line.rpartition(" ")[2])
         for line in text.splitlines()
--- a/bench/capacity_links.py
+++ b/bench/capacity_links.py
@@ -1,7 +1,7 @@
-"""Slopes of the links between entry VMs: memory, processor time and bytes.
+"""Measure memory and CPU time of the peer links between entry VMs.
 
-One process, the hub, holds links to and from many nodes, which run in a few helper
-processes. The messages are those of the product, or of their size.
+One process, the hub, holds links to and from many nodes, which share a few helper
+processes. The messages are as large as permit requests and permits.
 """
 
 import multiprocessing
@@ -29,8 +29,8 @@
 
 @message("bench_ask")
 @dataclass(frozen=True)
-class BenchAsk:
-    """A request of the size of a permit request."""
+class BenchRequest:
+    """A request as large as a permit request."""
 
     request_id: str
     adapter: str
@@ -40,8 +40,8 @@
 
 @message("bench_answer")
 @dataclass(frozen=True)
-class BenchAnswer:
-    """A reply of the size of a permit."""
+class BenchReply:
+    """A reply as large as a permit."""
 
     permit_id: str
     request_id: str
@@ -50,8 +50,8 @@
     fencing: int
 
 
-ASK = BenchAsk("0123456789abcdef", "summaries-0123", "agency-0123", 12.5)
-ANSWER = BenchAnswer(
+REQUEST = BenchRequest("0123456789abcdef", "summaries-0123", "agency-0123", 12.5)
+REPLY = BenchReply(
     "0123456789abcdef",
     "0123456789abcdef",
     "tutor-llm-1",
@@ -69,34 +69,34 @@
         lambda vm_id: ("127.0.0.1", port_by_name[vm_id]),
         Metrics(),
     )
-    links.start(_answer, lambda sender, notice: None)
+    links.start(_on_request, lambda sender, notice: None)
     return links
 
 
-def _answer(sender: str, ask: Any, reply: Callable[[Any], None]) -> None:
-    del sender, ask
-    reply(ANSWER)
+def _on_request(sender: str, request: Any, reply: Callable[[Any], None]) -> None:
+    del sender, request
+    reply(REPLY)
 
 
 def _run_nodes(names: list[str], port_by_name: dict[str, int], end: Connection) -> None:
-    """Run nodes in a helper process; link each to the hub when told to."""
+    """Run nodes in a helper process; link each to the hub on command."""
     links_by_name = {name: _start_links(name, port_by_name) for name in names}
     end.send("ready")
     for name in iter(end.recv, None):
-        links_by_name[name].request(HUB, ASK, 5).result()
+        links_by_name[name].request(HUB, REQUEST, 5).result()
         end.send("linked")
     for links in links_by_name.values():
         links.stop()
 
 
 def _run_hub(names: list[str], port_by_name: dict[str, int], end: Connection) -> None:
-    """Run the hub: link to nodes, or send at a rate, as told by the bench."""
+    """Run the hub: link to nodes or send at a rate, on command."""
     links = _start_links(HUB, port_by_name)
     end.send(os.getpid())
     sender = _Sender(links)
-    for order, value in iter(end.recv, None):
-        if order == "link":
-            links.request(value, ASK, 5).result()
+    for command, value in iter(end.recv, None):
+        if command == "link":
+            links.request(value, REQUEST, 5).result()
         else:
             sender.send_at_rate(value, names)
         end.send("done")
@@ -111,7 +111,7 @@
         self._stop = threading.Event()
 
     def send_at_rate(self, rate_per_s: float, names: list[str]) -> None:
-        """Replace the rate; 0 stops."""
+        """Set the rate, in requests per second; 0 stops sending."""
         self._stop.set()
         if rate_per_s:
             self._stop = threading.Event()
@@ -126,12 +126,12 @@
     ) -> None:
         number = 0
         while not stop.wait(1 / rate_per_s):
-            self._links.request(names[number % len(names)], ASK, 5)
+            self._links.request(names[number % len(names)], REQUEST, 5)
             number += 1
 
 
 def measure_links() -> dict[str, float]:
-    """Print the slopes of links and of messages; return them by name."""
+    """Print the slopes of links and messages; return them by name."""
     names = [f"entry-{number:03}" for number in range(max(LINK_COUNTS))]
     ports = find_free_ports("127.0.0.1", len(names) + 1)
     port_by_name = dict(zip([HUB, *names], ports, strict=True))
@@ -172,7 +172,7 @@
     pid = hub.recv()
     memory, idle, opening = [], [], []
     linked = 0
-    began = Usage.of_process(pid)
+    before_links = Usage.of_process(pid)
     for count in LINK_COUNTS:
         for name in names[linked:count]:
             ends[name].send(name)
@@ -181,20 +181,20 @@
             hub.recv()
         linked = count
         opened = Usage.of_process(pid)
-        opening.append((count, (opened.cpu_s - began.cpu_s) * 1000))
+        opening.append((count, (opened.cpu_s - before_links.cpu_s) * 1000))
         usage, cores = _read(pid)
         memory.append((count, usage.resident_bytes / KIB))
         idle.append((count, cores * 100))
-        # Time spent idle meanwhile is not part of the opening.
+        # Exclude the CPU time of the idle measurement from the cost of opening links.
         spent_s = Usage.of_process(pid).cpu_s - opened.cpu_s
-        began = replace(began, cpu_s=began.cpu_s + spent_s)
+        before_links = replace(before_links, cpu_s=before_links.cpu_s + spent_s)
     busy = []
     for rate in MESSAGE_RATES:
         hub.send(("rate", rate))
         hub.recv()
         _, cores = _read(pid)
         busy.append((rate, cores * 100))
-    print(f"request {len(encode(ASK))} bytes, reply {len(encode(ANSWER))} bytes")
+    print(f"request {len(encode(REQUEST))} bytes, reply {len(encode(REPLY))} bytes")
     peer = "peer linked both ways"
     lines = {
         "link_kib": print_slope("links, resident memory", memory, peer, "KiB"),
--- a/tests/test_capacity_bench.py
+++ b/tests/test_capacity_bench.py
@@ -1,4 +1,4 @@
-"""What the capacity measurement rests on: its lines and its byte counts."""
+"""Tests of the line fit, process usage and byte counts of the capacity bench."""
 
 import os
 import socket
@@ -11,9 +11,9 @@
 
 
 class TestLine:
-    """The line through readings."""
+    """The least-squares fit."""
 
-    def test_a_straight_line_is_found(self) -> None:
+    def test_a_straight_line_is_fitted_exactly(self) -> None:
         line = Line.through([(1, 5.0), (2, 7.0), (4, 11.0)])
         assert line.slope == pytest.approx(2)
         assert line.intercept == pytest.approx(3)
@@ -26,7 +26,7 @@
 
 
 class TestUsage:
-    """Readings of this very process."""
+    """Usage read from the kernel, for the test process."""
 
     def test_work_shows_as_processor_time(self) -> None:
         before = Usage.of_process(os.getpid())
@@ -38,7 +38,7 @@
 
 
 class TestRelay:
-    """A relay passes bytes on and counts both directions."""
+    """Byte counts of a relay."""
 
     def test_both_directions_are_counted(self) -> None:
         listener = socket.create_server(("127.0.0.1", 0))
