--- a/bench/catalogue_slope.py
+++ b/bench/catalogue_slope.py
@@ -1,9 +1,9 @@
-"""Memory and processor time of the catalogue against its number of entries.
+"""Measure memory and CPU time of the catalogue against its number of entries.
 
-Each size runs in a process of its own, so that memory freed by one does not hide the
-next one's. Run: ``python -m bench.catalogue_slope``; the lines are Markdown rows for
-``docs/CAPACITY.md``. Names are made up, and their regularity makes the compressed
-snapshot smaller than real names would: the last column is the size uncompressed.
+Run with ``python -m bench.catalogue_slope``; it prints Markdown rows for
+``docs/CAPACITY.md``. Each size runs in its own process, so that memory freed by one
+size does not affect the next. Generated names compress better than real ones, so the
+last column gives the uncompressed size.
 """
 
 import resource
@@ -30,7 +30,7 @@
 
 
 def pool_edit() -> dict[str, Any]:
-    """Return the edit that sets one pool for each base model."""
+    """Return an edit that sets one pool per base model."""
     pools = [
         {"kind": "pool", "name": f"pool-{number}", "base_model": f"base-{number}"}
         for number in range(BASE_MODELS)
@@ -39,7 +39,7 @@
 
 
 def adapter_edit(number: int, version: int) -> dict[str, Any]:
-    """Return an edit that sets one adapter; its source does not compress."""
+    """Return an edit that sets one adapter with an incompressible source."""
     noise = blake2b(f"{number}/{version}".encode(), digest_size=20).hexdigest()
     adapter = {
         "kind": "adapter",
@@ -54,7 +54,7 @@
 
 
 def measure_size(adapters: int, edits: int) -> str:
-    """Return a row: fold this many adapters, then this many further edits."""
+    """Measure a catalogue of ``adapters`` and further ``edits``; return a table row."""
     before = _resident_mb()
     catalogue = Catalogue.empty()
     catalogue.apply(0, pool_edit())
@@ -64,7 +64,7 @@
     fold_s = time.process_time() - started
     started = time.process_time()
     for number in range(edits):
-        # As in service: each edit follows a reader's view of the last.
+        # As in production, each edit follows a read of the current view.
         catalogue.view()
         offset = catalogue.next_offset
         catalogue.apply(offset, adapter_edit(number % adapters, 2 + number))
@@ -74,10 +74,10 @@
     value = write_snapshot(catalogue)
     write_s = time.process_time() - started
     started = time.process_time()
-    other = read_snapshot(value)
+    restored = read_snapshot(value)
     read_s = time.process_time() - started
-    if other.revision != catalogue.revision or other.digest != catalogue.digest:
-        raise AssertionError("the snapshot does not give the same state")
+    if restored.revision != catalogue.revision or restored.digest != catalogue.digest:
+        raise AssertionError("the snapshot does not restore the same state")
     rows_mb = sum(len(str(row)) for row in unpack_rows(value["data"])) / MEGABYTE
     peak_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
     return (
@@ -88,7 +88,7 @@
 
 
 def main() -> None:
-    """Print the table, or the row of one size if given as two numbers."""
+    """Print the table, or one row if adapters and edits are given as arguments."""
     if len(sys.argv) == 3:
         print(measure_size(int(sys.argv[1]), int(sys.argv[2])))
         return
--- a/bench/decision_speed.py
+++ b/bench/decision_speed.py
@@ -1,8 +1,8 @@
-"""Decisions a second of each pure module, at today's size and the letter's.
+"""Measure the decisions per second of each pure module at several sizes.
 
-Run with ``python -m bench.decision_speed``. What is decided must not cost more with
-17,000 adapters than with 3,000; rendezvous orders of adapters not seen lately do cost
-one hash per engine.
+Run with ``python -m bench.decision_speed``. The cost of a decision must not grow with
+the number of adapters, except for adapters without a cached rendezvous order: these
+cost one hash per engine.
 """
 
 import random
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterator
 
 from bamboovale.decisions.admission import Admission, AdmissionConfig, Limits
-from bamboovale.decisions.admission import Arrival as Asking
+from bamboovale.decisions.admission import Arrival as AdmissionArrival
 from bamboovale.decisions.dispatch import DispatchConfig, EngineDispatch
 from bamboovale.decisions.load_scheduler import LoadConfig, LoadScheduler
 from bamboovale.decisions.placement import (
@@ -32,7 +32,7 @@
 
 
 def rate(step: Callable[[int], None]) -> float:
-    """Return how often a step runs in a second."""
+    """Return the number of runs of a step per second."""
     for number in range(2000):
         step(number)
     started = time.perf_counter()
@@ -44,7 +44,7 @@
 
 
 def names(adapters: int) -> list[str]:
-    """Return adapters as a skewed load asks for them."""
+    """Return the adapters of a series of requests with Zipf popularity."""
     weights = popularity_weights(adapters)
     rng = random.Random(1)
     ranks = rng.choices(range(adapters), weights, k=20_000)
@@ -52,7 +52,7 @@
 
 
 def item(number: int, adapter: str, now: float) -> WorkItem:
-    """Return a request."""
+    """Return a request for an adapter."""
     return WorkItem(
         request_id=f"r{number}",
         entry_vm="e1",
@@ -66,21 +66,23 @@
 
 
 def placement(endpoints: int, adapters: int) -> Callable[[int], None]:
-    """Choose engines; hints come in between."""
+    """Choose engines, with routing hints in between."""
     engines = [f"g{number}" for number in range(endpoints)]
     chooser = EnginePlacement.from_config(PlacementConfig(), Policy.chosen())
     chooser.set_engines(EngineSite(name, "base") for name in engines)
-    asked = names(adapters)
+    requested = names(adapters)
     rng = random.Random(1)
 
     def step(number: int) -> None:
         now = number / 1000
-        wanted = item(number, asked[number % len(asked)], now)
-        engine = chooser.choose_engine(wanted, "base", now, rng)
+        work_item = item(number, requested[number % len(requested)], now)
+        engine = chooser.choose_engine(work_item, "base", now, rng)
         assert engine is not None
-        chooser.on_sent(engine, wanted.target.lora_name)
+        chooser.on_sent(engine, work_item.target.lora_name)
         if number % 5 == 0:
-            loaded = tuple(f"{asked[(number + n) % len(asked)]}@1" for n in range(8))
+            loaded = tuple(
+                f"{requested[(number + n) % len(requested)]}@1" for n in range(8)
+            )
             hint = EngineHint(engine, "base", 1, loaded, (), 4, 16, 0, 0.0, 0.4, 1, 1.0)
             chooser.on_hint(hint, now)
 
@@ -88,17 +90,19 @@
 
 
 def dispatch(endpoints: int, adapters: int) -> Callable[[int], None]:
-    """Pass requests through one engine: ask, grant, release, now and then a load."""
+    """Pass requests through one engine: request, grant, release, some loads."""
     engine = EngineDispatch.from_config(
         DispatchConfig("g1", "base", 1), Policy.chosen()
     )
-    asked = names(adapters)
+    requested = names(adapters)
     hot = frozenset(f"adapter-{number}@1" for number in range(8))
     engine.on_engine_view(EngineView("b1", "base", 16, 8, hot), 0.0)
 
     def step(number: int) -> None:
         now = number / 100
-        actions = engine.on_request(item(number, asked[number % len(asked)], now), now)
+        actions = engine.on_request(
+            item(number, requested[number % len(requested)], now), now
+        )
         for action in actions:
             if isinstance(action, Grant):
                 engine.on_release(action.permit.permit_id, now)
@@ -109,16 +113,18 @@
 
 
 def loads(endpoints: int, adapters: int) -> Callable[[int], None]:
-    """Ask for turns from all engines and end them."""
+    """Request load grants for all engines and complete them."""
     scheduler = LoadScheduler.from_config(LoadConfig())
-    asked = names(adapters)
+    requested = names(adapters)
 
     def step(number: int) -> None:
         now = number / 100
         engine = f"g{number % endpoints}"
-        turns = scheduler.on_request(engine, asked[number % len(asked)], 1.0, now)
-        for turn in turns:
-            scheduler.on_done(turn.number, now, loaded=True)
+        load_grants = scheduler.on_request(
+            engine, requested[number % len(requested)], 1.0, now
+        )
+        for load_grant in load_grants:
+            scheduler.on_done(load_grant.number, now, loaded=True)
         if number % 10 == 0:
             scheduler.on_tick(now)
 
@@ -126,24 +132,24 @@
 
 
 def admission(endpoints: int, adapters: int) -> Callable[[int], None]:
-    """Take in requests of entries with limits."""
+    """Admit requests for entries with limits."""
     entry = Admission.from_config(AdmissionConfig())
     entry.set_live_vms(endpoints)
     limits = Limits(requests_per_s=1000.0, concurrency=100)
-    asked = names(adapters)
+    requested = names(adapters)
     rng = random.Random(1)
 
     def step(number: int) -> None:
-        name = asked[number % len(asked)]
-        asking = Asking(f"r{number}", name, name, limits, 1000)
-        entry.on_request(asking, number / 1000, rng)
-        entry.on_done(asking.request_id)
+        name = requested[number % len(requested)]
+        arrival = AdmissionArrival(f"r{number}", name, name, limits, 1000)
+        entry.on_request(arrival, number / 1000, rng)
+        entry.on_done(arrival.request_id)
 
     return step
 
 
 def routing(endpoints: int, adapters: int) -> Callable[[int], None]:
-    """Route calls of a plain service."""
+    """Route calls to a plain service."""
     router = ServiceRouter()
     router.set_endpoints(f"s{number}" for number in range(endpoints))
     rng = random.Random(1)
@@ -159,7 +165,7 @@
 
 
 def retries(endpoints: int, adapters: int) -> Callable[[int], None]:
-    """Count a request and take a repeat."""
+    """Count a request and take a retry from the budget."""
     budget = RetryBudget.from_config(RetryConfig())
 
     def step(number: int) -> None:
@@ -170,7 +176,7 @@
 
 
 def suspects(endpoints: int, adapters: int) -> Callable[[int], None]:
-    """Look up a fingerprint among thousands of suspects."""
+    """Look up fingerprints among thousands of suspects."""
     known = Suspects()
     for number in range(5000):
         known.on_notice(CrashNotice(f"f{number}", "g1", f"b{number}", False), 0.0)
@@ -183,7 +189,7 @@
 
 
 def measure() -> Iterator[tuple[str, list[float]]]:
-    """Return the rates of each module over all sizes."""
+    """Yield the name and the rates at all sizes of each module."""
     for module in (placement, dispatch, loads, admission, routing, retries, suspects):
         yield (
             module.__name__,
@@ -192,7 +198,7 @@
 
 
 def main() -> None:
-    """Print one row for each module."""
+    """Print a table with one row per module."""
     sizes = [f"{e} endp. {a} adap." for e in ENDPOINTS for a in ADAPTERS]
     print("| decisions/s | " + " | ".join(sizes) + " |")
     print("|---|" + "---|" * len(sizes))
--- a/bench/jobs.py
+++ b/bench/jobs.py
@@ -1,4 +1,4 @@
-"""What a caller wants done, and how it judges what it gets back."""
+"""Requests of a mixed load, and the checks of their answers."""
 
 import hashlib
 import json
@@ -8,7 +8,7 @@
 
 from bamboovale.standins.tokens import AnswerTokens, prompt_of_messages
 
-CHARACTERS_A_TOKEN = 7  # of the engine stand-in's answers
+CHARACTERS_PER_TOKEN = 7  # in answers of the engine stand-in
 
 
 class JobKind(StrEnum):
@@ -20,8 +20,8 @@
     KEYED_COMPLETION = "keyed_completion"
     CALL = "call"
     KEYED_CALL = "keyed_call"
-    MARKED_CALL = "marked_call"  # non-idempotent, without a key
-    HANG_UP = "hang_up"  # a stream whose caller goes away
+    MARKED_CALL = "marked_call"  # marked non-idempotent, without a key
+    HANG_UP = "hang_up"  # a stream whose caller disconnects
 
 
 MODEL_KINDS = frozenset(
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class Job:
-    """One thing that a caller wants; ``id`` is unique in the run."""
+    """One request of a caller, over all its tries; ``id`` is unique in the run."""
 
     id: str
     kind: JobKind
@@ -51,17 +51,17 @@
 
     @property
     def key(self) -> str:
-        """Return the Idempotency-Key of all tries, or an empty string."""
+        """Return the Idempotency-Key of all tries, or an empty string without one."""
         return f"key-{self.id}" if self.kind in KEYED_KINDS else ""
 
     @property
     def idempotent(self) -> bool:
-        """Tell whether the job may run more than once."""
+        """Return whether the job may run more than once."""
         return self.kind not in NON_IDEMPOTENT_KINDS
 
     @property
     def prompt(self) -> str:
-        """Return the prompt as the engine sees it."""
+        """Return the prompt that the engine receives."""
         if self.kind is JobKind.CHAT:
             return prompt_of_messages(self._messages())
         return self._own_text()
@@ -94,7 +94,7 @@
         return headers
 
     def body(self) -> bytes:
-        """Return the body, the same for every try."""
+        """Return the request body, which is the same for every try."""
         if self.kind is JobKind.CALL:
             return b""
         if self.kind not in MODEL_KINDS:
@@ -109,21 +109,21 @@
         return json.dumps(body).encode()
 
     def expected_text(self, lora_name: str) -> str:
-        """Return the one right answer of an adapter version."""
+        """Return the correct answer of an adapter version."""
         return AnswerTokens(lora_name, self.prompt).text(self.max_tokens)
 
     def find_defect(self, lora_name: str, text: str) -> str:
-        """Say how a model's answer is not whole or not this job's own."""
+        """Return how a model's answer differs from the expected one, if it does."""
         expected = self.expected_text(lora_name)
         if text == expected:
             return ""
         if expected.startswith(text):
-            tokens = len(text) // CHARACTERS_A_TOKEN
+            tokens = len(text) // CHARACTERS_PER_TOKEN
             return f"cut short: {tokens} of {self.max_tokens} tokens"
         return f"foreign text {text[:40]!r}, expected {expected[:40]!r}"
 
     def find_call_defect(self, answer: dict[str, Any]) -> str:
-        """Say how a plain service's echo is not of this job."""
+        """Return how a service's echo does not match this job, or an empty string."""
         expected = hashlib.sha256(self.body()).hexdigest()
         if answer.get("body_sha256") != expected:
             return "the service saw another body"
--- a/bench/load_stalls.py
+++ b/bench/load_stalls.py
@@ -1,7 +1,7 @@
-"""Compares the chosen policy with the baseline in virtual time.
+"""Compare the chosen policy with the baseline in virtual time.
 
-Run with ``python -m bench.load_stalls lernwerk``. Figures are "virtual time, pure
-modules": see :mod:`bench.virtual_time` for what they leave out.
+Run with ``python -m bench.load_stalls lernwerk``. :mod:`bench.virtual_time` names what
+the simulation leaves out.
 """
 
 import argparse
@@ -52,10 +52,10 @@
     """Return the figures by scenario and policy."""
     figures: dict[str, dict[str, dict[str, float]]] = {}
     for scenario in scenarios:
-        lasting = replace(scenario, seconds=seconds)
+        timed = replace(scenario, seconds=seconds)
         figures[scenario.name] = {
             policy.name: summarize(
-                run_scenario(profile, lasting, policy),
+                run_scenario(profile, timed, policy),
                 settle_s=SETTLE_S,
             )
             for policy in policies
@@ -64,7 +64,7 @@
 
 
 def print_table(figures: dict[str, dict[str, dict[str, float]]]) -> None:
-    """Print one line for each scenario and figure, with the ratio."""
+    """Print the figures of both policies and their ratio, one per line."""
     print(f"{'scenario':18} {'figure':28} {'chosen':>9} {'baseline':>9} {'ratio':>7}")
     for scenario, by_policy in figures.items():
         for column in COLUMNS:
@@ -82,7 +82,7 @@
     customer: str,
     load: float = 0.6,
 ) -> dict[str, float]:
-    """Return the others' p95 wait without and with a customer at ten times."""
+    """Return figures of the other customers without and with a hot customer."""
     policy = Policy.chosen(profile.stall_weight)
     figures = {}
     for label, hot in (("without", ""), ("with", customer)):
--- a/bench/measures.py
+++ b/bench/measures.py
@@ -1,4 +1,4 @@
-"""What callers received, as one row of figures."""
+"""Summarize the records of a run as named figures."""
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
@@ -19,7 +19,7 @@
 
 @dataclass
 class Record:
-    """One request as its caller saw it; times in seconds from the run's start."""
+    """The result of one request; times in seconds from the start of the run."""
 
     customer: str
     work_class: WorkClass
@@ -33,25 +33,25 @@
 
 @dataclass
 class Fill:
-    """Places used and places there while work waited, in place-seconds."""
+    """Places used and available while requests waited, in place-seconds."""
 
     used: float = 0.0
     offered: float = 0.0
 
     def add(self, used: int, offered: int, seconds: float) -> None:
-        """Add a span of time in which work waited."""
+        """Add a period in which requests waited."""
         self.used += used * seconds
         self.offered += offered * seconds
 
     @property
     def share(self) -> float:
-        """Return the batch efficiency."""
+        """Return the share of available places that was used."""
         return self.used / self.offered if self.offered else 1.0
 
 
 @dataclass
 class Result:
-    """All records of a run."""
+    """The records and totals of a run."""
 
     records: list[Record] = field(default_factory=list)
     fill: Fill = field(default_factory=Fill)
@@ -60,7 +60,7 @@
 
 
 def percentile(values: Iterable[float], share: float) -> float:
-    """Return the value below which the share of values lies."""
+    """Return the quantile ``share`` of the values, or 0 without values."""
     ordered = sorted(values)
     if not ordered:
         return 0.0
@@ -68,10 +68,10 @@
 
 
 def summarize(result: Result, *, settle_s: float = 0.0) -> dict[str, float]:
-    """Return the figures of a run by name, without arrivals of its first seconds.
+    """Return the figures of a run by name, without arrivals before ``settle_s``.
 
-    A request that was given up counts with the stall and wait it had until then; a
-    refused one is counted as a refusal and its wait until then as well.
+    Requests that were given up count with their stall and wait until then; refused
+    ones are left out of the wait percentiles.
     """
     records = [r for r in result.records if r.arrived_at >= settle_s]
     figures: dict[str, float] = {"requests": float(len(records))}
@@ -115,13 +115,15 @@
 
 
 def _fairness(records: Sequence[Record]) -> float:
-    """Return the worst customer's served share against the median customer's."""
-    asked: dict[str, int] = {}
+    """Return the worst customer's goodput share relative to the median customer's."""
+    requested: dict[str, int] = {}
     good: dict[str, int] = {}
     for record in records:
-        asked[record.customer] = asked.get(record.customer, 0) + 1
+        requested[record.customer] = requested.get(record.customer, 0) + 1
         good[record.customer] = good.get(record.customer, 0) + _is_good(record)
-    shares = [good[name] / asked[name] for name in asked if asked[name] >= 10]
+    shares = [
+        good[name] / requested[name] for name in requested if requested[name] >= 10
+    ]
     if not shares:
         return 1.0
     return min(shares) / max(1e-9, percentile(shares, 0.5))
--- a/bench/profiles.py
+++ b/bench/profiles.py
@@ -1,9 +1,4 @@
-"""The two deployments' sizes and loads, and arrivals drawn from them.
-
-Engines, adapters, latencies and the weight store's limits are the brief's. The batch of
-16 and 8 slots an engine are ours ("only a few"); token times and lengths follow the
-letter (13 s a request at 56 ms a token at the peak).
-"""
+"""Sizes and loads of two deployments, and random arrivals generated from them."""
 
 import bisect
 import itertools
@@ -16,16 +11,16 @@
 from bamboovale.models import WorkClass
 
 ZIPF_EXPONENT = 1.2
-"""Sharply skewed: the first adapter has 22 %, the first 48 of 3,000 have 72 %."""
+"""Exponent of the Zipf distribution of requests over adapters."""
 
 
 SLOTS_IN_USE = 0.75
-"""Adapters in use may fill three quarters of the slots; the rest is for exchange."""
+"""Share of the slots that adapters in use may fill; the others allow exchanges."""
 
 
 @cache
 def popularity_weights(adapters: int) -> tuple[float, ...]:
-    """Return the share of requests of each rank."""
+    """Return the share of requests of each adapter, by popularity rank."""
     weights = [1.0 / rank**ZIPF_EXPONENT for rank in range(1, adapters + 1)]
     total = sum(weights)
     return tuple(weight / total for weight in weights)
@@ -33,7 +28,7 @@
 
 @dataclass(frozen=True)
 class ClassLoad:
-    """Share, answer length and longest wait of one class of work."""
+    """Share, mean answer length and maximum wait of one work class."""
 
     share: float
     mean_tokens: int
@@ -42,7 +37,7 @@
 
 @dataclass(frozen=True)
 class Profile:
-    """One deployment; times in seconds."""
+    """Size and load of one deployment; times in seconds."""
 
     name: str
     engines: int
@@ -61,17 +56,16 @@
 
     @property
     def service_seconds(self) -> float:
-        """Return the mean time that a request takes a place."""
+        """Return the mean time that a request occupies a place, in seconds."""
         loads = self.class_loads.values()
         return sum(load.share * load.mean_tokens for load in loads) * self.step_s
 
     @property
     def capacity_per_s(self) -> float:
-        """Return the requests a second that one could promise to serve.
+        """Return the estimated capacity in requests per second.
 
-        The least of what fills all places, what keeps ``SLOTS_IN_USE`` of the slots
-        pinned by the adapters that run at one moment, and what loads of adapters not
-        in use at that moment the weight store allows.
+        The highest rate at which the places suffice, running requests pin at most
+        ``SLOTS_IN_USE`` of the slots and the weight store's load rate is not exceeded.
         """
         slots = self.engines * self.max_loras
         places = self.engines * self.max_num_seqs / self.service_seconds
@@ -86,7 +80,7 @@
         return low
 
     def _expect(self, rate: float) -> tuple[float, float]:
-        """Return adapters in use at a moment and loads a second, if none waits."""
+        """Return the expected adapters in use and loads per second without queueing."""
         pinned = loads_per_s = 0.0
         for weight in popularity_weights(self.adapters):
             idle = math.exp(-rate * self.service_seconds * weight)
@@ -145,7 +139,7 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """What happens in a run; moments count from its start, None means never."""
+    """Load and faults of a run; times count from its start, None means never."""
 
     name: str
     load: float
@@ -162,7 +156,7 @@
 
 
 class Popularity:
-    """Zipf popularity whose ranks can be dealt out anew."""
+    """Zipf popularity of adapters, whose ranks can be reassigned."""
 
     def __init__(self, profile: Profile) -> None:
         weights = [1.0 / rank**ZIPF_EXPONENT for rank in range(1, profile.adapters + 1)]
@@ -172,21 +166,21 @@
         self._customers = profile.customers
 
     def shift(self, rng: random.Random) -> None:
-        """Give every rank to another adapter."""
+        """Reassign the ranks at random."""
         rng.shuffle(self._adapters)
 
     def draw(self, rng: random.Random) -> str:
-        """Return an adapter by popularity."""
+        """Draw an adapter by popularity."""
         rank = bisect.bisect_left(self._bounds, rng.random())
         return self._adapters[min(rank, len(self._adapters) - 1)]
 
     def customer_of(self, adapter: str) -> str:
-        """Return the owner: neighbours in number belong to different customers."""
+        """Return the customer; adapters with adjacent numbers have different ones."""
         return f"customer-{int(adapter.removeprefix('adapter-')) % self._customers}"
 
 
 def arrivals(profile: Profile, scenario: Scenario, seed: int) -> Iterator[Arrival]:
-    """Return the arrivals of a run; a hot customer's extra ones come on top."""
+    """Return the arrivals of a run, with the extra ones of a hot customer."""
     base = _base_arrivals(profile, scenario, random.Random(f"{seed}-base"))
     if not scenario.hot_customer:
         return base
--- a/bench/records_slope.py
+++ b/bench/records_slope.py
@@ -1,7 +1,7 @@
-"""Memory and processor time of claims and leases against their numbers.
+"""Measure memory and CPU time of claim and lease tables against their sizes.
 
-Run: ``python -m bench.records_slope``; the lines are Markdown rows for
-``docs/CAPACITY.md``. Each size runs in a process of its own.
+Run with ``python -m bench.records_slope``; it prints Markdown rows for
+``docs/CAPACITY.md``. Each size runs in its own process.
 """
 
 import json
@@ -25,7 +25,7 @@
 
 
 def measure_claims(count: int) -> str:
-    """Return a row for a table of this many claims."""
+    """Measure a table of ``count`` claims; return a table row."""
     before = _resident_mb()
     table = ClaimTable()
     size = 0
@@ -56,7 +56,7 @@
 
 
 def measure_leases(engines: int) -> str:
-    """Return a row for a table of this many leases."""
+    """Measure a table with a lease per engine; return a table row."""
     table = LeaseTable.empty()
     nodes = engines // ENGINES_PER_NODE
     for engine in range(engines):
@@ -85,7 +85,7 @@
 
 
 def main() -> None:
-    """Print both tables, or one row if given its name and size."""
+    """Print both tables, or one row if its name and size are given as arguments."""
     if len(sys.argv) == 3:
         measure = {"claims": measure_claims, "leases": measure_leases}[sys.argv[1]]
         print(measure(int(sys.argv[2])))
--- a/bench/virtual_time.py
+++ b/bench/virtual_time.py
@@ -1,8 +1,7 @@
-"""Drives the decision modules in virtual time, without sockets or processes.
+"""Run the decision modules in virtual time, without sockets or processes.
 
-A small event loop stands in for engines, the weight store and the messages between
-entry VMs, to compare policies in seconds. It is no simulator of the platform: engines
-step at a fixed time a token, messages take a fixed time and none is lost.
+An event loop simulates engines, the weight store and the messages between entry VMs.
+The model is simplified: tokens and messages take a fixed time and no message is lost.
 """
 
 import heapq
@@ -54,24 +53,24 @@
         self._numbers = itertools.count()
 
     def at(self, when: float, callback: Callable[[], None]) -> None:
-        """Run a callback at a moment."""
+        """Run a callback at a point in time."""
         heapq.heappush(self._events, (when, next(self._numbers), callback))
 
     def after(self, seconds: float, callback: Callable[[], None]) -> None:
-        """Run a callback after some time."""
+        """Run a callback after a delay."""
         self.at(self.now + seconds, callback)
 
     def every(self, seconds: float, callback: Callable[[], None]) -> None:
-        """Run a callback again and again."""
+        """Run a callback periodically."""
 
-        def again() -> None:
+        def run() -> None:
             callback()
-            self.after(seconds, again)
+            self.after(seconds, run)
 
-        self.after(seconds, again)
+        self.after(seconds, run)
 
     def run_until(self, end: float) -> None:
-        """Run all events up to a moment."""
+        """Run all events up to a point in time."""
         while self._events and self._events[0][0] <= end:
             self.now, _, callback = heapq.heappop(self._events)
             callback()
@@ -79,12 +78,12 @@
 
 
 class WeightStore:
-    """A rate of loads and a bandwidth that they share."""
+    """A weight store with a limited load rate and a shared bandwidth."""
 
     def __init__(self, loop: EventLoop, profile: Profile) -> None:
         self._loop = loop
         self._profile = profile
-        self._left_by_id: dict[int, float] = {}
+        self._remaining_by_id: dict[int, float] = {}
         self._done_by_id: dict[int, Callable[[bool], None]] = {}
         self._numbers = itertools.count()
         self._advanced_at = 0.0
@@ -94,7 +93,7 @@
         self.loads = 0
 
     def load(self, done: Callable[[bool], None]) -> None:
-        """Start a load; ``done`` is told whether it succeeded."""
+        """Start a load; ``done`` is called with whether it succeeded."""
         self._advance()
         if self.down or self._tokens < 1.0:
             self._loop.after(0.01, lambda: done(False))
@@ -102,43 +101,45 @@
         self._tokens -= 1.0
         self.loads += 1
         number = next(self._numbers)
-        self._left_by_id[number] = self._profile.load_seconds
+        self._remaining_by_id[number] = self._profile.load_seconds
         self._done_by_id[number] = done
-        self._plan()
+        self._schedule_finish()
 
     def _advance(self) -> None:
         passed = self._loop.now - self._advanced_at
         self._advanced_at = self._loop.now
         self._tokens = min(2.0, self._tokens + passed * self._profile.loads_per_s)
-        for number in self._left_by_id:
-            self._left_by_id[number] -= passed * self._speed()
+        for number in self._remaining_by_id:
+            self._remaining_by_id[number] -= passed * self._speed()
 
     def _speed(self) -> float:
-        return min(1.0, 2.0 / max(1, len(self._left_by_id)))
+        return min(1.0, 2.0 / max(1, len(self._remaining_by_id)))
 
-    def _plan(self) -> None:
-        if not self._left_by_id:
+    def _schedule_finish(self) -> None:
+        if not self._remaining_by_id:
             return
         self._version += 1
         version = self._version
-        soonest = max(0.0, min(self._left_by_id.values())) / self._speed()
-        self._loop.after(soonest + 1e-9, lambda: self._finish(version))
+        earliest_s = max(0.0, min(self._remaining_by_id.values())) / self._speed()
+        self._loop.after(earliest_s + 1e-9, lambda: self._finish(version))
 
     def _finish(self, version: int) -> None:
         if version != self._version:
             return
         self._advance()
-        ended = [n for n, left in self._left_by_id.items() if left <= 1e-6]
+        ended = [
+            n for n, remaining_s in self._remaining_by_id.items() if remaining_s <= 1e-6
+        ]
         for number in ended:
-            del self._left_by_id[number]
-        self._plan()
+            del self._remaining_by_id[number]
+        self._schedule_finish()
         for number in ended:
             self._done_by_id.pop(number)(not self.down)
 
 
 @dataclass
 class Job:
-    """A caller's request on its way."""
+    """A request in flight."""
 
     arrival: Arrival
     item: WorkItem
@@ -150,7 +151,7 @@
 
 @dataclass
 class Engine:
-    """An engine, and the dispatch that its lease holder runs."""
+    """An engine and the dispatch of its lease holder."""
 
     site: EngineSite
     dispatch: EngineDispatch
@@ -161,12 +162,12 @@
     loading: int = 0
     unloading: set[str] = field(default_factory=set)
     running: dict[str, Permit] = field(default_factory=dict)
-    turns: list[LoadGrant] = field(default_factory=list)
+    load_grants: list[LoadGrant] = field(default_factory=list)
     waiting: int = 0
 
 
 class VirtualCluster:
-    """Entry VMs, engines and one load scheduler around the pure modules."""
+    """Simulated entry VMs and engines with one load scheduler."""
 
     def __init__(
         self,
@@ -198,14 +199,14 @@
         self._arrivals = arriving or arrivals(profile, scenario, seed)
 
     def run(self) -> Result:
-        """Run the scenario and return what callers received."""
+        """Run the scenario and return the records of all requests."""
         for number, engine in enumerate(self.engine_by_id.values()):
-            self._look(engine)
-            self._every(VIEW_EVERY_S, number, self._look, engine)
+            self._poll(engine)
+            self._every(VIEW_EVERY_S, number, self._poll, engine)
             self._every(HINT_EVERY_S, number, self._send_hints, engine)
             self._every(TICK_EVERY_S, number, self._tick, engine)
         self.loop.every(TICK_EVERY_S, self._tick_scheduler)
-        self._plan_faults()
+        self._schedule_faults()
         self._next_arrival()
         self.loop.run_until(self.scenario.seconds)
         self._count_fill()
@@ -214,7 +215,7 @@
         self.result.loads = self.store.loads
         return self.result
 
-    # Building.
+    # Set-up.
 
     def _make_engines(self) -> dict[str, Engine]:
         profile = self.profile
@@ -256,16 +257,16 @@
             lambda: self.loop.every(seconds, lambda: callback(engine)),
         )
 
-    def _plan_faults(self) -> None:
+    def _schedule_faults(self) -> None:
         scenario = self.scenario
         first = next(iter(self.engine_by_id.values()))
         if scenario.cold_restart_at is not None:
             for engine in self.engine_by_id.values():
                 self._at(scenario.cold_restart_at, self._restart, engine)
         if scenario.slow_engine_at is not None:
-            mends_at = scenario.slow_engine_at + scenario.slow_engine_s
+            normal_at = scenario.slow_engine_at + scenario.slow_engine_s
             self._at(scenario.slow_engine_at, self._slow, first, scenario.slow_factor)
-            self._at(mends_at, self._slow, first, 1.0)
+            self._at(normal_at, self._slow, first, 1.0)
         if scenario.store_down_at is not None:
             up_at = scenario.store_down_at + scenario.store_down_s
             self._at(scenario.store_down_at, self._set_store_down, True)
@@ -294,19 +295,19 @@
         broken = [permit.request_id for permit in engine.running.values()]
         engine.running.clear()
         for request_id in broken:
-            self._repeat_broken(request_id)
-        self.loop.after(RESTART_S, lambda: self._come_up(engine))
+            self._retry_broken(request_id)
+        self.loop.after(RESTART_S, lambda: self._finish_restart(engine))
 
-    def _come_up(self, engine: Engine) -> None:
+    def _finish_restart(self, engine: Engine) -> None:
         engine.up = True
-        self._look(engine)
+        self._poll(engine)
 
-    def _repeat_broken(self, request_id: str) -> None:
+    def _retry_broken(self, request_id: str) -> None:
         job = self._job_by_id.get(request_id)
         if job is not None:
             job.record.outcome = Outcome.OPEN
             job.tried.clear()
-            self.loop.after(self._hop, lambda: self._ask_engine(job))
+            self.loop.after(self._hop, lambda: self._send_to_engine(job))
 
     # Callers and entry VMs.
 
@@ -342,9 +343,9 @@
         self._job_by_id[item.request_id] = job
         if not self.policy.refuses_late:
             self.loop.at(item.latest_start, lambda: self._give_up(job))
-        self._ask_engine(job)
+        self._send_to_engine(job)
 
-    def _ask_engine(self, job: Job) -> None:
+    def _send_to_engine(self, job: Job) -> None:
         placement = self.placements[job.entry]
         engine_id = placement.choose_engine(
             job.item,
@@ -354,7 +355,7 @@
             job.tried,
         )
         if engine_id is None:
-            self._settle(job, Outcome.REFUSED)
+            self._record_outcome(job, Outcome.REFUSED)
             return
         job.tried.append(engine_id)
         placement.on_sent(engine_id, job.item.target.lora_name)
@@ -365,7 +366,7 @@
         self._count_fill()
         engine.waiting += 1
         job.queued_at = self.loop.now
-        self._carry_out(engine, engine.dispatch.on_request(job.item, self.loop.now))
+        self._execute(engine, engine.dispatch.on_request(job.item, self.loop.now))
 
     def _give_up(self, job: Job) -> None:
         if job.record.outcome is not Outcome.OPEN:
@@ -375,11 +376,11 @@
                 self._count_fill()
                 engine.waiting -= 1
                 actions = engine.dispatch.on_cancel(job.item.request_id, self.loop.now)
-                self._carry_out(engine, actions)
+                self._execute(engine, actions)
         self._note_stall(self.engine_by_id[job.tried[-1]], job)
-        self._settle(job, Outcome.GAVE_UP)
+        self._record_outcome(job, Outcome.GAVE_UP)
 
-    def _settle(self, job: Job, outcome: Outcome) -> None:
+    def _record_outcome(self, job: Job, outcome: Outcome) -> None:
         job.record.outcome = outcome
         job.record.ended_at = self.loop.now
         if outcome is not Outcome.SERVED:
@@ -390,9 +391,9 @@
         if job.record.outcome is Outcome.OPEN:
             job.record.wait_s = self.loop.now - job.item.arrived_at
 
-    # The lease holder's loop.
+    # Lease holder of an engine.
 
-    def _look(self, engine: Engine) -> None:
+    def _poll(self, engine: Engine) -> None:
         if not engine.up:
             return
         running = {p.request_id: p.lora_name for p in engine.running.values()}
@@ -406,29 +407,29 @@
             read_at=self.loop.now,
         )
         actions = engine.dispatch.on_engine_view(view, self.loop.now)
-        self._carry_out(engine, actions)
+        self._execute(engine, actions)
 
     def _tick(self, engine: Engine) -> None:
-        self._carry_out(engine, engine.dispatch.on_tick(self.loop.now))
+        self._execute(engine, engine.dispatch.on_tick(self.loop.now))
 
     def _send_hints(self, engine: Engine) -> None:
         hint = engine.dispatch.hint(self.loop.now)
         for placement in self.placements:
-            self.loop.after(self._hop, partial(self._take_hint, placement, hint))
+            self.loop.after(self._hop, partial(self._on_hint, placement, hint))
 
-    def _take_hint(self, placement: EnginePlacement, hint: EngineHint) -> None:
+    def _on_hint(self, placement: EnginePlacement, hint: EngineHint) -> None:
         placement.on_hint(hint, self.loop.now)
 
-    def _carry_out(self, engine: Engine, actions: list[Action]) -> None:
+    def _execute(self, engine: Engine, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Grant):
                 self._start(engine, action.permit)
             elif isinstance(action, Refuse):
-                self._refused(engine, action)
+                self._on_refusal(engine, action)
             elif isinstance(action, RequestLoadGrant):
-                self._ask_turn(engine, action)
+                self._request_load_grant(engine, action)
             elif isinstance(action, ReturnLoadGrant):
-                self._return_turn(engine)
+                self._return_load_grant(engine)
             elif isinstance(action, Load):
                 self._load(engine, action.lora_name)
             elif isinstance(action, Unload):
@@ -440,14 +441,14 @@
         job = self._job_by_id[permit.request_id]
         self._note_stall(engine, job)
         job.record.wait_s = self.loop.now - job.item.arrived_at
-        self._settle(job, Outcome.SERVED)
+        self._record_outcome(job, Outcome.SERVED)
         engine.running[permit.permit_id] = permit
         step_s = self.profile.step_s * engine.slow_factor
         seconds = job.item.max_tokens * step_s + 4 * self._hop
         self.loop.after(seconds, lambda: self._finish(engine, permit))
 
     def _note_stall(self, engine: Engine, job: Job) -> None:
-        """Add the wait until the adapter was there, or until now if it is not."""
+        """Add the wait until the adapter was loaded, or until now if it is not."""
         loaded_at = engine.loaded_at.get(job.item.target.lora_name, self.loop.now)
         job.record.stall_s += max(0.0, loaded_at - job.queued_at)
 
@@ -457,9 +458,9 @@
         self._count_fill(just_ended=1)
         self._job_by_id.pop(permit.request_id, None)
         actions = engine.dispatch.on_release(permit.permit_id, self.loop.now)
-        self._carry_out(engine, actions)
+        self._execute(engine, actions)
 
-    def _refused(self, engine: Engine, action: Refuse) -> None:
+    def _on_refusal(self, engine: Engine, action: Refuse) -> None:
         self._count_fill()
         engine.waiting -= 1
         job = self._job_by_id.get(action.request_id)
@@ -468,54 +469,58 @@
         self._note_stall(engine, job)
         late = self.loop.now >= job.item.latest_start
         if late or len(job.tried) >= TRIES:
-            self._settle(job, Outcome.REFUSED)
+            self._record_outcome(job, Outcome.REFUSED)
         else:
-            self.loop.after(self._hop, lambda: self._ask_engine(job))
+            self.loop.after(self._hop, lambda: self._send_to_engine(job))
 
-    # Loads.
+    # Load grants and loads.
 
-    def _ask_turn(self, engine: Engine, ask: RequestLoadGrant) -> None:
+    def _request_load_grant(
+        self, engine: Engine, load_request: RequestLoadGrant
+    ) -> None:
         def arrive() -> None:
-            turns = self.scheduler.on_request(
+            load_grants = self.scheduler.on_request(
                 engine.site.engine_id,
-                ask.lora_name,
-                ask.weight,
+                load_request.lora_name,
+                load_request.weight,
                 self.loop.now,
             )
-            self._give(turns)
+            self._deliver(load_grants)
 
         self.loop.after(self._hop, arrive)
 
-    def _give(self, turns: list[LoadGrant]) -> None:
-        for turn in turns:
-            engine = self.engine_by_id[turn.engine_id]
-            self.loop.after(self._hop, partial(self._use_turn, engine, turn))
+    def _deliver(self, load_grants: list[LoadGrant]) -> None:
+        for load_grant in load_grants:
+            engine = self.engine_by_id[load_grant.engine_id]
+            self.loop.after(
+                self._hop, partial(self._use_load_grant, engine, load_grant)
+            )
 
-    def _use_turn(self, engine: Engine, turn: LoadGrant) -> None:
-        engine.turns.append(turn)
-        actions = engine.dispatch.on_load_grant(turn.lora_name, self.loop.now)
-        self._carry_out(engine, actions)
+    def _use_load_grant(self, engine: Engine, load_grant: LoadGrant) -> None:
+        engine.load_grants.append(load_grant)
+        actions = engine.dispatch.on_load_grant(load_grant.lora_name, self.loop.now)
+        self._execute(engine, actions)
 
-    def _return_turn(self, engine: Engine) -> None:
-        if engine.turns:
-            turn = engine.turns.pop()
-            self._give(self.scheduler.on_returned(turn.number, self.loop.now))
+    def _return_load_grant(self, engine: Engine) -> None:
+        if engine.load_grants:
+            load_grant = engine.load_grants.pop()
+            self._deliver(self.scheduler.on_returned(load_grant.number, self.loop.now))
 
-    def _end_turn(self, engine: Engine, loaded: bool) -> None:
-        if engine.turns:
-            number = engine.turns.pop(0).number
-            turns = self.scheduler.on_done(number, self.loop.now, loaded=loaded)
-            self._give(turns)
+    def _end_load_grant(self, engine: Engine, loaded: bool) -> None:
+        if engine.load_grants:
+            number = engine.load_grants.pop(0).number
+            load_grants = self.scheduler.on_done(number, self.loop.now, loaded=loaded)
+            self._deliver(load_grants)
 
     def _tick_scheduler(self) -> None:
-        self._give(self.scheduler.on_tick(self.loop.now))
+        self._deliver(self.scheduler.on_tick(self.loop.now))
 
     def _load(self, engine: Engine, name: str) -> None:
         boot = engine.boot
         engine.loading += 1
 
         def done(ok: bool) -> None:
-            self._end_turn(engine, ok)
+            self._end_load_grant(engine, ok)
             if engine.boot != boot:
                 return
             engine.loading -= 1
@@ -524,7 +529,7 @@
                 actions = engine.dispatch.on_loaded(name, self.loop.now)
             else:
                 actions = engine.dispatch.on_load_failed(name, self.loop.now, 0.0)
-            self._carry_out(engine, actions)
+            self._execute(engine, actions)
 
         if engine.up:
             self.store.load(done)
@@ -540,14 +545,14 @@
         def done() -> None:
             if engine.boot == boot:
                 actions = engine.dispatch.on_unloaded(name, self.loop.now)
-                self._carry_out(engine, actions)
+                self._execute(engine, actions)
 
         self.loop.after(2 * self._hop, done)
 
     # Batch efficiency.
 
     def _count_fill(self, just_ended: int = 0) -> None:
-        """Add the time since the last change if work waited anywhere."""
+        """Add the time since the last change if any engine had requests waiting."""
         passed = self.loop.now - self._fill_at
         self._fill_at = self.loop.now
         engines = self.engine_by_id.values()
