--- a/bench/guards.py
+++ b/bench/guards.py
@@ -1,7 +1,7 @@
-"""``make guards``: shows that each promise's test fails without the promise's guard.
+"""Mutation check: the test of each promise must fail without the promise's guard.
 
-A test that passes with and without a guard proves nothing. Each guard below is taken
-out of a scratch copy, where the named test must then fail; the tree itself stays.
+Run with ``make guards``. Each guard is removed in a temporary copy of the sources,
+where the named test must then fail; the worktree is not changed.
 """
 
 import argparse
@@ -20,14 +20,14 @@
 ROOT = Path(__file__).resolve().parent.parent
 COPIED = ("bamboovale", "bench", "tests", "pyproject.toml")
 TEST_TIMEOUT_S = 150.0
-AT_ONCE = 2
-FOUND_BY_CHECKER = re.compile(r"Promise\.([A-Z_]+)")
-FOUND_BY_TEST = re.compile(r"^E +(assert .*|\w+Error.*|Failed.*)$", re.MULTILINE)
+PARALLEL_RUNS = 2
+CHECKER_FAILURE = re.compile(r"Promise\.([A-Z_]+)")
+TEST_FAILURE = re.compile(r"^E +(assert .*|\w+Error.*|Failed.*)$", re.MULTILINE)
 
 
 @dataclass(frozen=True)
 class Change:
-    """What is replaced in one file."""
+    """A text replacement in one file."""
 
     path: str
     text: str
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class Guard:
-    """A guard, how it is taken out, and the test that must notice."""
+    """A guard, the changes that remove it, and the test that must then fail."""
 
     name: str
     promise: Promise
@@ -46,7 +46,7 @@
 
 GUARDS = (
     Guard(
-        "a VM that cannot vouch for its catalogue refuses; peers pass records on",
+        "a VM with a stale catalogue refuses; peers forward records",
         Promise.RIGHT_VERSION,
         "tests/test_promises_engines.py::TestVersions::"
         "test_an_entry_vm_cut_from_everything_stops_serving_old_versions",
@@ -87,7 +87,7 @@
         ),
     ),
     Guard(
-        "an answer must name the attempt and the version that were sent",
+        "an answer must name the attempt and version of its request",
         Promise.OWN_ANSWER,
         "tests/test_promises_answers.py::TestAnswers::"
         "test_answers_that_engines_mix_up_reach_nobody",
@@ -116,7 +116,7 @@
         ),
     ),
     Guard(
-        "a call that was sent is never called not run",
+        "a call that was sent is never reported as not run",
         Promise.NOT_RUN,
         "tests/test_promises_answers.py::TestNotRun::test_a_service_that_drops_calls",
         (
@@ -141,7 +141,7 @@
         ),
     ),
     Guard(
-        "a leaving engine gets no permit, its queue moves",
+        "a leaving engine gets no permits and its queue moves to other engines",
         Promise.LEAVING,
         "tests/test_promises_engines.py::TestLeaving::"
         "test_a_leaving_engine_with_a_queue",
@@ -164,7 +164,7 @@
         ),
     ),
     Guard(
-        "a stopping VM waits for what it answers",
+        "a stopping VM waits for its running requests",
         Promise.PLANNED_STOP,
         "tests/test_promises_entries.py::TestPlannedStop::"
         "test_a_long_stream_outlives_the_stop",
@@ -177,7 +177,7 @@
         ),
     ),
     Guard(
-        "an edit of a replaced revision is a conflict",
+        "an edit based on a replaced revision is a conflict",
         Promise.EDITS,
         "tests/test_promises_entries.py::TestEdits::test_operators_race",
         (
@@ -189,7 +189,7 @@
         ),
     ),
     Guard(
-        "a VM without a lease table asks whoever sends an engine's hints",
+        "a VM without a lease table sends requests to the source of an engine's hints",
         Promise.ANSWERED,
         "tests/test_promises_entries.py::TestEdits::"
         "test_an_entry_vm_starts_during_an_outage_of_the_log",
@@ -204,8 +204,8 @@
 )
 
 
-def try_without(guard: Guard) -> str:
-    """Run the guard's test without the guard; return how it failed, or nothing."""
+def run_without(guard: Guard) -> str:
+    """Run the guard's test without the guard; return the failure, or ''."""
     with tempfile.TemporaryDirectory(prefix="bamboovale-guard-") as name:
         directory = Path(name)
         for item in COPIED:
@@ -213,7 +213,7 @@
             copy = shutil.copytree if source.is_dir() else shutil.copy
             copy(source, directory / item)
         for change in guard.changes:
-            _take_out(directory / change.path, change)
+            _apply(directory / change.path, change)
         done = subprocess.run(
             [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", guard.test],
             cwd=directory,
@@ -226,24 +226,24 @@
         return ""
     if done.returncode != 1:
         raise RuntimeError(f"{guard.name}: pytest exited {done.returncode}")
-    broken = set(FOUND_BY_CHECKER.findall(done.stdout)) & set(Promise.__members__)
+    broken = set(CHECKER_FAILURE.findall(done.stdout)) & set(Promise.__members__)
     if broken:
         return "broken: " + ", ".join(sorted(broken))
-    found = FOUND_BY_TEST.search(done.stdout)
+    found = TEST_FAILURE.search(done.stdout)
     return found.group(1)[:100] if found else "the test failed"
 
 
-def _take_out(path: Path, change: Change) -> None:
+def _apply(path: Path, change: Change) -> None:
     text = path.read_text()
     if text.count(change.text) < 1:
-        raise RuntimeError(f"{change.path} no longer has {change.text.strip()!r}")
+        raise RuntimeError(f"{change.path} does not contain {change.text.strip()!r}")
     path.write_text(text.replace(change.text, change.replacement, 1))
 
 
 def describe(guard: Guard) -> tuple[bool, str]:
-    """Try one guard; return whether its test noticed, and a line on it."""
+    """Try one guard; return whether its test failed, and a line for the report."""
     try:
-        failure = try_without(guard)
+        failure = run_without(guard)
     except (RuntimeError, subprocess.TimeoutExpired) as error:
         return False, f"NOT TRIED {guard.promise.name}: {guard.name}: {error}"
     verdict = f"fails without: {failure}" if failure else "PASSES WITHOUT"
@@ -251,21 +251,21 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Try the guards of the named promises, all by default."""
+    """Try the guards of the named promises, by default all; return the exit code."""
     parser = argparse.ArgumentParser(prog="guards", description=__doc__)
     parser.add_argument("promises", nargs="*", help="names such as EDITS")
     options = parser.parse_args(arguments)
-    wanted = [
+    selected = [
         guard
         for guard in GUARDS
         if not options.promises or guard.promise.name in options.promises
     ]
-    noticed = True
-    with ThreadPoolExecutor(AT_ONCE) as threads:
-        for failed, line in threads.map(describe, wanted):
-            noticed = noticed and failed
+    all_failed = True
+    with ThreadPoolExecutor(PARALLEL_RUNS) as threads:
+        for failed, line in threads.map(describe, selected):
+            all_failed = all_failed and failed
             print(line, flush=True)
-    return 0 if noticed else 1
+    return 0 if all_failed else 1
 
 
 if __name__ == "__main__":
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Tools of the developers."""
+"""Developer tools; not shipped."""
--- a/tools/build_binary.py
+++ b/tools/build_binary.py
@@ -1,9 +1,9 @@
-"""Build the one binary: an executable zip that runs without being unpacked.
+"""Build the binary: an executable zip archive that runs without being unpacked.
 
-The dependencies are copied from this interpreter's installed packages, so that the
-binary carries exactly what the tests ran with and the build needs no network. Python
-imports only pure modules from a zip: native parts are left out, and a package that
-cannot do without its own is reported.
+Dependencies are copied from the packages installed for this interpreter, so that the
+binary contains the versions under test and the build needs no network. Python imports
+only pure modules from a zip archive: native modules are left out, and packages that
+require them are an error.
 """
 
 import argparse
@@ -20,20 +20,20 @@
 from packaging.requirements import Requirement
 
 ROOT = Path(__file__).resolve().parent.parent
-# -I leaves out PYTHONPATH and the user's packages, -S the machine's packages: the
-# binary runs the same whatever the machine has installed.
+# -I ignores PYTHONPATH and user packages, -S the system's site-packages, so that
+# installed packages cannot replace the bundled ones.
 SHEBANG = b"#!/usr/bin/env -S python3 -I -S\n"
 MAIN = b"from bamboovale.__main__ import main\n\nmain()\n"
-# The first date that a zip can hold; nothing reads the dates.
-DATE = (1980, 1, 1, 0, 0, 0)
+# The earliest date that the zip format allows; the dates are not used.
+ENTRY_DATE = (1980, 1, 1, 0, 0, 0)
 NATIVE_SUFFIXES = (".so", ".pyd")
-LEFT_OUT = (".pyi", ".pyc", ".pth", ".c", *NATIVE_SUFFIXES)
-# Metadata that programs read (versions) or that must go along (licences).
-METADATA_LEFT_OUT = frozenset({"RECORD", "INSTALLER", "REQUESTED", "direct_url.json"})
+EXCLUDED_SUFFIXES = (".pyi", ".pyc", ".pth", ".c", *NATIVE_SUFFIXES)
+# Other metadata files are kept: versions are read at run time, licences must ship.
+EXCLUDED_METADATA = frozenset({"RECORD", "INSTALLER", "REQUESTED", "direct_url.json"})
 
 
 class NativeOnlyError(Exception):
-    """Packages that have no pure form."""
+    """Raised for packages that work only with native modules."""
 
 
 @dataclass(frozen=True)
@@ -45,13 +45,13 @@
 
 
 def read_requirements(path: Path) -> list[Requirement]:
-    """Return what a requirements file names, without its comments."""
+    """Return the requirements in a file."""
     lines = (line.partition("#")[0].strip() for line in path.read_text().splitlines())
     return [Requirement(line) for line in lines if line]
 
 
 def find_distributions(requirements: list[Requirement]) -> dict[str, Distribution]:
-    """Return the installed packages that the requirements need, keyed by name."""
+    """Return the installed packages that the requirements need, by name."""
     distribution_by_name: dict[str, Distribution] = {}
     pending = list(requirements)
     while pending:
@@ -71,8 +71,8 @@
 def is_native_only(distribution: Distribution) -> bool:
     """Return whether a package is a wrapper of a native module.
 
-    Packages with an optional native part (cbor2, websockets) bring pure modules of
-    the same job beside it; by far the most of a wrapper's bytes are its native part.
+    Packages with optional native modules (cbor2, websockets) include pure fallbacks;
+    a wrapper consists almost entirely of its native module.
     """
     sizes = {True: 0, False: 0}
     for file in distribution.files or []:
@@ -83,24 +83,24 @@
 
 
 def check_pure(distributions: dict[str, Distribution]) -> None:
-    """Raise NativeOnlyError with all packages that a zip cannot hold."""
+    """Raise NativeOnlyError if any package works only with native modules."""
     found = [name for name, found in distributions.items() if is_native_only(found)]
     if found:
-        raise NativeOnlyError(f"no pure form: {', '.join(found)}")
+        raise NativeOnlyError(f"packages without pure modules: {', '.join(found)}")
 
 
-def is_wanted(file: PurePosixPath) -> bool:
-    """Return whether a package's file goes into the archive."""
-    if ".." in file.parts or file.suffix in LEFT_OUT or file.parts[0] == "bin":
+def is_included(file: PurePosixPath) -> bool:
+    """Return whether a file of a package goes into the archive."""
+    if ".." in file.parts or file.suffix in EXCLUDED_SUFFIXES or file.parts[0] == "bin":
         return False
     in_metadata = file.parts[0].endswith(".dist-info")
-    return not (in_metadata and file.name in METADATA_LEFT_OUT)
+    return not (in_metadata and file.name in EXCLUDED_METADATA)
 
 
 def package_members(distribution: Distribution) -> Iterator[Member]:
-    """Yield the pure files of an installed package."""
+    """Yield the files of an installed package, without native modules."""
     for file in distribution.files or []:
-        if is_wanted(file):
+        if is_included(file):
             path = Path(str(distribution.locate_file(file)))
             yield Member(file.as_posix(), path.read_bytes())
 
@@ -112,10 +112,10 @@
 
 
 def compile_member(source: Member, scratch: Path) -> Member:
-    """Return a module's byte code, to be put beside its source.
+    """Return the byte code of a module, to be stored next to its source.
 
-    It is never checked against the source, which the archive cannot change. Another
-    release of Python does not take it and compiles the source.
+    The byte code is not validated against the source, as the archive is immutable.
+    Other Python releases ignore it and compile the source.
     """
     path = scratch / "module.py"
     path.write_bytes(source.content)
@@ -129,8 +129,8 @@
     return Member(f"{source.name}c", Path(str(compiled)).read_bytes())
 
 
-def folders_of(names: list[str]) -> set[str]:
-    """Return the folders of the files: namespace packages need entries of theirs."""
+def directories_of(names: list[str]) -> set[str]:
+    """Return the directories of the files; namespace packages need entries for them."""
     return {
         f"{parent.as_posix()}/"
         for name in names
@@ -142,15 +142,15 @@
 def write_archive(target: Path, members: list[Member]) -> None:
     """Write an executable archive."""
     content_by_name = {member.name: member.content for member in members}
-    for folder in folders_of(list(content_by_name)):
-        content_by_name[folder] = b""
+    for directory in directories_of(list(content_by_name)):
+        content_by_name[directory] = b""
     target.parent.mkdir(parents=True, exist_ok=True)
     with target.open("wb") as file:
         file.write(SHEBANG)
         with zipfile.ZipFile(file, "w", zipfile.ZIP_DEFLATED) as archive:
             for name, content in sorted(content_by_name.items()):
                 archive.writestr(
-                    zipfile.ZipInfo(name, DATE),
+                    zipfile.ZipInfo(name, ENTRY_DATE),
                     content,
                     zipfile.ZIP_DEFLATED,
                 )
@@ -174,8 +174,8 @@
 
 
 def main() -> None:
-    """Run the command line."""
-    parser = argparse.ArgumentParser(description="Build the one binary.")
+    """Parse the command line and build the binary."""
+    parser = argparse.ArgumentParser(description="Build the binary.")
     parser.add_argument("target", type=Path, nargs="?", default="dist/bamboovale")
     target = parser.parse_args().target
     try:
