--- a/tests/test_capacity_bench.py
+++ b/tests/test_capacity_bench.py
@@ -1,4 +1,4 @@
-"""What the capacity measurement rests on: its lines and its byte counts."""
+"""Tests of the line fit, process usage and byte counts of the capacity bench."""
 
 import os
 import socket
@@ -11,22 +11,22 @@
 
 
 class TestLine:
-    """The line through readings."""
+    """The least-squares fit."""
 
-    def test_a_straight_line_is_found(self) -> None:
+    def test_a_straight_line_is_fitted_exactly(self) -> None:
         line = Line.through([(1, 5.0), (2, 7.0), (4, 11.0)])
         assert line.slope == pytest.approx(2)
-        assert line.start == pytest.approx(3)
-        assert line.greatest_error == pytest.approx(0, abs=1e-9)
+        assert line.intercept == pytest.approx(3)
+        assert line.max_error == pytest.approx(0, abs=1e-9)
 
-    def test_the_greatest_error_is_that_of_the_worst_reading(self) -> None:
+    def test_the_max_error_is_that_of_the_worst_reading(self) -> None:
         line = Line.through([(0, 0.0), (1, 3.0), (2, 0.0)])
         assert line.slope == pytest.approx(0)
-        assert line.greatest_error == pytest.approx(2)
+        assert line.max_error == pytest.approx(2)
 
 
 class TestUsage:
-    """Readings of this very process."""
+    """Usage read from the kernel, for the test process."""
 
     def test_work_shows_as_processor_time(self) -> None:
         before = Usage.of_process(os.getpid())
@@ -38,7 +38,7 @@
 
 
 class TestRelay:
-    """A relay passes bytes on and counts both directions."""
+    """Byte counts of a relay."""
 
     def test_both_directions_are_counted(self) -> None:
         listener = socket.create_server(("127.0.0.1", 0))
