--- a/bamboovale/claims/fold.py
+++ b/bamboovale/claims/fold.py
@@ -35,8 +35,9 @@
 DEFAULT_MAX_CLAIMS = 60_000
 # One customer cannot fill the table for all others.
 MAX_SHARE_OF_CUSTOMER = 0.5
-# Released attempt ids remembered per key. A delayed copy of an older claim wins but is
-# never sent: the key is blocked for a horizon, but nothing runs twice.
+# Released attempt ids remembered per key. A delayed copy of a claim whose id is no
+# longer remembered wins but is never sent: its key is blocked for a horizon, and
+# nothing runs twice.
 MAX_RELEASED_ATTEMPTS = 8
 BODY_DIGEST_BYTES = 7
 
--- a/bamboovale/entry/permits.py
+++ b/bamboovale/entry/permits.py
@@ -43,7 +43,7 @@
     def request_permit(
         self, holder: str, request: PermitRequest, timeout_s: float
     ) -> "Future[Any]":
-        """Send the first permit request; it resolves to a :class:`PermitReply`."""
+        """Send the first permit request; return a future :class:`PermitReply`."""
         ...
 
     def notify(self, holder: str, message: Any) -> None:
--- a/bamboovale/gateway/ownership.py
+++ b/bamboovale/gateway/ownership.py
@@ -144,7 +144,7 @@
 
         Where engines check fencing numbers, an owner continues after its lease while
         the store is unreachable: if it was replaced, the engine refuses its orders.
-        Where they do not, the lease must be valid and the last owner's expired.
+        Where they do not, this VM's lease must be valid and the last owner's expired.
         """
         if self._leaving:
             return False
--- a/bamboovale/peers/outgoing.py
+++ b/bamboovale/peers/outgoing.py
@@ -65,7 +65,7 @@
             return
 
     def expire(self) -> None:
-        """Fail the future after its timeout; the error says if the message was sent."""
+        """Fail the future on timeout; the error shows whether the message was sent."""
         if self.sent:
             self.settle(PeerTimeoutError("no reply before the timeout"))
         else:
--- a/bamboovale/platform/names.py
+++ b/bamboovale/platform/names.py
@@ -36,8 +36,8 @@
 CONFIG_KEY = "config"
 VERSION_PREFIX = "version/"
 
-# Endpoints would treat a caller's values as ours: a hold or a KV source that does not
-# exist makes an endpoint refuse the request.
+# Endpoints would treat a caller's values as ours, and refuse a request that refers to
+# a hold or a KV source that does not exist.
 CALLER_MAY_NOT_SET = frozenset(
     {
         EXPECT_INSTANCE,
